--- a/bergamotdoor/jobs/__init__.py
+++ b/bergamotdoor/jobs/__init__.py
@@ -1,4 +1,8 @@
-"""Decisions about batch jobs: order of work, placement, results."""
+"""Decisions about batch jobs, without I/O.
+
+They cover the order in which items run, the engine of each item, moves
+between engines, score calls, and the positions and listing of results.
+"""
 
 from __future__ import annotations
 
--- a/bergamotdoor/jobs/board.py
+++ b/bergamotdoor/jobs/board.py
@@ -1,10 +1,12 @@
-"""Which items of a job wait, run or are finished.
-
-Load pattern: a step's items arrive at once, more than the engines have
-slots; the trainer needs whole groups. So items start in the order of the
-job, in which a group's items stand together and groups that came again
-stand first, and an item that has to run again goes before those that have
-not begun: its group waits for it.
+"""Queue and state of the items of one batch job.
+
+Load pattern: the items of a step arrive together, and they are more than
+the engines have slots. The trainer can only use complete groups. Items
+therefore start in the order of the job, where the items of a group are
+adjacent and groups that were resubmitted from an earlier job are first.
+Items that are expected to be long start before all others. An item that has
+to run again starts before items that have not started, since its group
+waits for it.
 """
 
 from __future__ import annotations
@@ -27,138 +29,179 @@
     from bergamotdoor.jobs.messages import JobSpec
     from bergamotdoor.types import GroupId, ItemId
 
-#: An engine that fails on an item is not asked at once again: a failure
-#: that comes back in milliseconds would use up all attempts in one fault.
+#: Pauses before an item runs again, by the number of its failed runs so far.
+#: An engine can fail on an item within milliseconds: without pauses, one
+#: fault would use up all attempts.
 _RETRY_PAUSES_S: Final = (0, 0.1, 0.3, 0.6)
 
-#: The place of an item that goes before all others.
-_FIRST: Final = -1
+#: Order of an item that moves to another engine: before all other items.
+_MOVED_ITEM_ORDER: Final = -1
 
-#: An item counts as long from so many times the mean on.
+#: An item counts as long if its expected length is more than this multiple
+#: of the mean expected length of the job's items.
 LONG_RATIO: Final = 1.5
 
 
 class RunEnd(enum.Enum):
-    """Why a run of an item gave no text."""
+    """Reason why a run of an item ended without a text."""
 
-    #: The engine did not run it: full, another incarnation, loading.
+    #: The engine did not run the item: the engine is full, loads weights or
+    #: is another incarnation.
     REFUSED = 'refused'
-    #: Another incarnation is at its address.
+    #: Another incarnation answers at the address of the engine.
     REPLACED = 'replaced'
     #: The connection or the stream broke.
     BROKEN = 'broken'
-    #: The engine answered that it failed.
+    #: The engine answered that the run failed.
     FAILED = 'failed'
-    #: The item can never be done.
+    #: No engine can ever run the item.
     IMPOSSIBLE = 'impossible'
-    #: Stopped by the owner, to go on at another engine.
+    #: The job's owner stopped the run, to continue it at another engine.
     MOVED = 'moved'
-    #: The engine's weights are older than the job takes; none were used.
+    #: The engine's weights are older than the job's minimum version. The
+    #: item's text has no events from this run.
     OUTDATED = 'outdated'
-    #: Made under a version that the job does not take.
+    #: The text was generated under weight versions that the job does not
+    #: accept.
     TOO_OLD = 'too-old'
 
 
 class Slot(msgspec.Struct):
-    """One item and what became of it so far."""
+    """State of one item."""
 
     spec: ItemSpec
+    #: Position in the start order of the job; lower ones start first.
     order: int
+    #: How many runs of the item are in progress.
     running: int = 0
-    #: Its text is whole and has no score yet.
+    #: Whether the text is complete and the item waits for its score.
     generated: bool = False
+    #: How many runs the engines answered with a failure.
     failures: int = 0
-    #: Upstreams where it broke or failed last.
+    #: The upstream of the last run that broke, failed or moved, if any.
     avoid: frozenset[UpstreamId] = frozenset()
     result: ItemResult | None = None
 
 
 class JobBoard:
-    """The items of one job.
+    """Items of one job that had no stored result at the start.
 
     Parameters
     ----------
     spec
         The job.
     ledger
-        Results that are stored already; their items do not run again.
+        Results that are stored already. Their items do not run again.
     """
 
     def __init__(self, spec: JobSpec, ledger: Ledger) -> None:
-        #: After how many failed runs an item is given up; by its route.
+        #: Number of failed runs after which an item is lost; set from the
+        #: job's route.
         self.max_failures = 1
-        self._slots: dict[ItemId, Slot] = {}
+        self._items: dict[ItemId, Slot] = {}
+        #: Heap of the items that may start now.
         self._waiting: list[tuple[int, ItemId]] = []
-        self._later: list[tuple[dt.timedelta, int, ItemId]] = []
+        #: Heap of the items that may start after a pause.
+        self._delayed: list[tuple[dt.timedelta, int, ItemId]] = []
+        #: Results of complete groups, to be stored.
         self._finished: list[ItemResult] = []
-        #: Results of groups that are not whole yet.
-        self._partial: dict[GroupId, list[ItemResult]] = {}
+        #: Results of groups that are not complete yet.
+        self._group_results: dict[GroupId, list[ItemResult]] = {}
         self._open_in_group: Counter[GroupId] = Counter()
-        for order, item in enumerate(_longest_first(spec.items)):
+        for order, item in enumerate(_long_items_first(spec.items)):
             if item.item not in ledger:
-                self._slots[item.item] = Slot(item, order)
+                self._items[item.item] = Slot(item, order)
                 self._waiting.append((order, item.item))
                 self._open_in_group[item.group] += 1
-        #: Where each group's prompt is cached.
+        #: The engine that has each group's prompt in its cache.
         self.homes: dict[GroupId, UpstreamId] = {}
-        #: Items that have no result yet.
-        self.open_items = len(self._slots)
+        #: Number of items that have no result yet.
+        self.open_items = len(self._items)
 
     @property
     def has_finished(self) -> bool:
-        """Whether results wait to be stored.
+        """Whether results of complete groups wait to be stored.
 
-        Those of a group that is not whole don't: a trainer has no use for
-        them, and reading them would take the turn of a read that could
-        bring it a whole group half a second sooner.
+        Results of an incomplete group are not stored. A trainer cannot use
+        them, and returning them would end a read that could have returned a
+        complete group half a second sooner.
         """
         return bool(self._finished)
 
     def ready(self, now: dt.timedelta) -> Slot | None:
-        """Return the item that should start next, if any."""
-        _take_due(self._later, self._waiting, now)
+        """Return the item that should start next, or ``None``.
+
+        The item stays in the queue until ``start`` or ``defer`` removes it.
+        """
+        _requeue_due_items(self._delayed, self._waiting, now)
         while self._waiting:
-            slot = self._slots[self._waiting[0][1]]
+            slot = self._items[self._waiting[0][1]]
             if slot.result is None and not slot.generated:
                 return slot
             heapq.heappop(self._waiting)
         return None
 
     def start(self, slot: Slot) -> None:
-        """Take an item that ``ready`` returned off the queue."""
-        taken = heapq.heappop(self._waiting)
-        assert taken[1] == slot.spec.item, taken
+        """Remove the item that ``ready`` returned and count its run."""
+        first = heapq.heappop(self._waiting)
+        assert first[1] == slot.spec.item, first
         slot.running += 1
 
     def defer(self, slot: Slot, until: dt.timedelta) -> None:
-        """Take an item that ``ready`` returned off the queue for a while."""
-        taken = heapq.heappop(self._waiting)
-        assert taken[1] == slot.spec.item, taken
-        heapq.heappush(self._later, (until, slot.order, slot.spec.item))
+        """Keep the item that ``ready`` returned from starting for a while.
+
+        Parameters
+        ----------
+        slot
+            The item.
+        until
+            The monotonic time from which the item may start.
+        """
+        first = heapq.heappop(self._waiting)
+        assert first[1] == slot.spec.item, first
+        heapq.heappush(self._delayed, (until, slot.order, slot.spec.item))
 
     def generated(self, item: ItemId) -> None:
-        """Take that an item's text is whole; it runs no more."""
-        slot = self._slots[item]
+        """Record that the text of an item is complete, without a score.
+
+        The item does not run again.
+        """
+        slot = self._items[item]
         slot.running = max(slot.running - 1, 0)
         slot.generated = True
 
     def finish(self, result: ItemResult) -> None:
-        """Take a result; a second one of the same item is dropped."""
-        slot = self._slots[result.item]
+        """Record the result of an item; ignore it if the item has one."""
+        slot = self._items[result.item]
         slot.running = max(slot.running - 1, 0)
         if slot.result is None:
-            self._partial.setdefault(slot.spec.group, []).append(result)
+            self._group_results.setdefault(slot.spec.group, []).append(result)
             self._close(slot, result)
 
     def give_back(
         self, item: ItemId, end: RunEnd, where: UpstreamId, now: dt.timedelta
     ) -> None:
-        """Take an item whose run gave no text; it waits again, or is lost."""
-        slot = self._slots[item]
+        """Queue an item again whose run ended without a text.
+
+        The item is lost instead if it can never run, or if its runs have
+        failed ``max_failures`` times.
+
+        Parameters
+        ----------
+        item
+            The item.
+        end
+            Why the run gave no text.
+        where
+            The upstream that the item ran at.
+        now
+            The monotonic time.
+        """
+        slot = self._items[item]
         slot.running = max(slot.running - 1, 0)
         if slot.result is not None:
             return
-        if _hopeless(slot, end, self.max_failures):
+        if _is_lost_after(slot, end, self.max_failures):
             self.finish(ItemResult(item, ItemState.LOST))
             return
         if end in {RunEnd.FAILED, RunEnd.BROKEN, RunEnd.MOVED}:
@@ -166,10 +209,10 @@
         pause_s = _RETRY_PAUSES_S[min(slot.failures, len(_RETRY_PAUSES_S) - 1)]
         if pause_s:
             ready_at = now + type(now)(seconds=pause_s)
-            heapq.heappush(self._later, (ready_at, slot.order, item))
+            heapq.heappush(self._delayed, (ready_at, slot.order, item))
         else:
-            # One that moves is before all others: a slot is kept for it.
-            order = _FIRST if end is RunEnd.MOVED else slot.order
+            # A slot is reserved for an item that moves, so it starts first.
+            order = _MOVED_ITEM_ORDER if end is RunEnd.MOVED else slot.order
             heapq.heappush(self._waiting, (order, item))
 
     def open_in_group(self, group: GroupId) -> int:
@@ -178,14 +221,14 @@
 
     @property
     def open_groups(self) -> frozenset[GroupId]:
-        """The groups of which an item has no result yet."""
+        """Groups that have an item without a result."""
         return frozenset(
             group for group, count in self._open_in_group.items() if count
         )
 
     def unlisted(self) -> Iterator[ItemResult]:
-        """Return the texts that are whole and wait for their group."""
-        for results in self._partial.values():
+        """Return the completed results that wait for their group."""
+        for results in self._group_results.values():
             yield from (
                 result
                 for result in results
@@ -193,55 +236,69 @@
             )
 
     def give_up(self) -> None:
-        """End every open item as lost."""
-        for slot in self._slots.values():
+        """Record every item without a result as lost."""
+        for slot in self._items.values():
             if slot.result is None:
                 self.finish(ItemResult(slot.spec.item, ItemState.LOST))
 
     def take_finished(self, limit_bytes: int) -> tuple[ItemResult, ...]:
-        """Remove results to store together, at least one if there is one."""
+        """Remove and return results of complete groups, to store together.
+
+        Parameters
+        ----------
+        limit_bytes
+            How much text the results may have together. The first result is
+            returned whatever its size.
+        """
         size_bytes = 0
-        taken = 0
+        count = 0
         for result in self._finished:
             size_bytes += len(result.text.encode())
-            if taken and size_bytes > limit_bytes:
+            if count and size_bytes > limit_bytes:
                 break
-            taken += 1
-        batch = tuple(self._finished[:taken])
-        self._finished = self._finished[taken:]
+            count += 1
+        batch = tuple(self._finished[:count])
+        self._finished = self._finished[count:]
         return batch
 
     def stored(self, result: ItemResult) -> None:
-        """Take a result that another process stored."""
-        slot = self._slots.get(result.item)
+        """Record a result that another process has stored."""
+        slot = self._items.get(result.item)
         if slot is not None and slot.result is None:
             self._close(slot, result)
 
     def body_of(self, item: ItemId) -> bytes | None:
-        """Return the body of an item that is still open."""
-        slot = self._slots.get(item)
+        """Return the request body of an item, or ``None``.
+
+        ``None`` means that the job has no such item, or that its result was
+        stored before this object was created.
+        """
+        slot = self._items.get(item)
         return None if slot is None else slot.spec.body
 
     def _close(self, slot: Slot, result: ItemResult) -> None:
+        """Set the result of an item; release its group if it is complete."""
         slot.result = result
         self.open_items -= 1
         group = slot.spec.group
         self._open_in_group[group] -= 1
         if not self._open_in_group[group]:
-            self._finished.extend(self._partial.pop(group, ()))
+            self._finished.extend(self._group_results.pop(group, ()))
 
 
-def _take_due(
-    later: list[tuple[dt.timedelta, int, ItemId]],
+def _requeue_due_items(
+    delayed: list[tuple[dt.timedelta, int, ItemId]],
     waiting: list[tuple[int, ItemId]],
     now: dt.timedelta,
 ) -> None:
-    while later and later[0][0] <= now:
-        _, order, item = heapq.heappop(later)
+    """Move items whose pause is over from one heap to the other."""
+    while delayed and delayed[0][0] <= now:
+        _, order, item = heapq.heappop(delayed)
         heapq.heappush(waiting, (order, item))
 
 
-def _hopeless(slot: Slot, end: RunEnd, max_failures: int) -> bool:
+def _is_lost_after(slot: Slot, end: RunEnd, max_failures: int) -> bool:
+    """Count the run if it failed; return whether the item is lost."""
     if end is RunEnd.IMPOSSIBLE:
         return True
     if end is RunEnd.FAILED:
@@ -249,12 +306,13 @@
     return slot.failures >= max_failures
 
 
-def _longest_first(items: tuple[ItemSpec, ...]) -> list[ItemSpec]:
-    """Return those that are expected to be long, then the others in order.
+def _long_items_first(items: tuple[ItemSpec, ...]) -> list[ItemSpec]:
+    """Return items that are expected to be long, then the others in order.
 
-    Generated one token after the other, the longest item alone takes most
-    of a step's time; a second that it waits for a slot is lost for all.
+    Tokens are generated one after the other, so the longest item alone takes
+    most of a step's time. Each second that it waits for a slot delays the
+    whole step by a second.
     """
     expected = [item.expected_tokens for item in items]
-    long = sum(expected) / max(len(expected), 1) * LONG_RATIO
-    return sorted(items, key=lambda item: item.expected_tokens <= long)
+    long_tokens = sum(expected) / max(len(expected), 1) * LONG_RATIO
+    return sorted(items, key=lambda item: item.expected_tokens <= long_tokens)
--- a/bergamotdoor/jobs/event_stream.py
+++ b/bergamotdoor/jobs/event_stream.py
@@ -1,4 +1,4 @@
-"""Reads the events of an engine's stream."""
+"""Parser for the event stream of an engine."""
 
 from __future__ import annotations
 
@@ -7,39 +7,46 @@
 from bergamotdoor.jobs.transcript import GeneratedEvent
 from bergamotdoor.types import WeightVersion
 
-_END: Final = b'\n\n'
+_EVENT_END: Final = b'\n\n'
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
 
 class EventReader:
-    """Cuts a stream into events; keeps the begin of the next one.
+    """Incremental parser that splits a stream into events.
 
-    An event ends with an empty line. Whatever follows the last one was
-    broken off and is no event.
+    An event ends with an empty line. Bytes after the last empty line belong
+    to an event that is not complete; they are kept until the next piece
+    arrives. If the stream ends there, they are no event.
 
     Parameters
     ----------
     version_field
-        The line that names the version which generates from there on.
+        Name of the event field that holds the weight version which generates
+        from this event on.
     """
 
     def __init__(self, version_field: str) -> None:
         self._version_field = version_field
-        self._rest = b''
+        self._incomplete_event = b''
 
     def feed(self, piece: bytes) -> Iterator[GeneratedEvent]:
-        """Return the events that are whole with this piece.
+        """Return the events that this piece of the stream completes.
 
         Raises
         ------
         ValueError
-            If a number is none, or the text is not UTF-8.
+            If an event number or a weight version is not an integer, or the
+            text is not UTF-8.
         """
-        blocks = (self._rest + piece).split(_END)
-        self._rest = blocks.pop()
-        return (_event(block, self._version_field) for block in blocks if block)
+        blocks = (self._incomplete_event + piece).split(_EVENT_END)
+        self._incomplete_event = blocks.pop()
+        return (
+            _parse_event(block, self._version_field)
+            for block in blocks
+            if block
+        )
 
     def check_end(self) -> None:
         """Check that the stream did not end within an event.
@@ -47,13 +54,16 @@
         Raises
         ------
         ValueError
-            If it did.
+            If the last event is not complete.
         """
-        if self._rest:
-            raise ValueError(f'{len(self._rest)} bytes of an event at the end')
+        if self._incomplete_event:
+            raise ValueError(
+                f'stream ended within an event, '
+                f'after {len(self._incomplete_event)} bytes of it'
+            )
 
 
-def _event(block: bytes, version_field: str) -> GeneratedEvent:
+def _parse_event(block: bytes, version_field: str) -> GeneratedEvent:
     number = -1
     version: WeightVersion | None = None
     lines: list[str] = []
@@ -66,4 +76,4 @@
             number = int(text)
         elif name == version_field:
             version = WeightVersion(int(text))
-    return GeneratedEvent(number, '\n'.join(lines), version, block + _END)
+    return GeneratedEvent(number, '\n'.join(lines), version, block + _EVENT_END)
--- a/bergamotdoor/jobs/ledger.py
+++ b/bergamotdoor/jobs/ledger.py
@@ -1,8 +1,8 @@
-"""The results of one job, in the order in which they were stored.
+"""Listed results of one job, in the order in which they were stored.
 
-A result has a position once its record is in the store under the next
-number. Only one record can have a number, so two processes that both run
-the job cannot give one position to different results.
+A result is listed, and has a position, once its record is in the store under
+the next record number. Only one record can have a number, so two processes
+that both run the job cannot give the same position to different results.
 """
 
 from __future__ import annotations
@@ -16,35 +16,44 @@
     from bergamotdoor.types import ItemId
 
 
-#: What a page may hold: a reader takes a megabyte at most, escapes and
-#: names included.
+#: Limit for the text of a page. A reader accepts at most a megabyte, which
+#: also has to hold escape characters and field names.
 LARGEST_PAGE_BYTES: Final = 900_000
-#: The smallest links are 30 Mbit/s; used where the link is not told.
-_SMALLEST_BYTES: Final = 250_000
-#: What a link carries within some 70 ms. A reader's entry takes an owner
-#: that shows nothing for 400 ms for lost, and several read at once.
-_BYTES_PER_MBPS: Final = 8500
+#: Limit for the slowest links, which have 30 Mbit/s, and for links of unknown
+#: bandwidth.
+_SMALLEST_PAGE_BYTES: Final = 250_000
+#: Limit per Mbit/s of bandwidth: what a link carries within about 70 ms.
+#: Several entries read at once, and a reader's entry takes an owner for lost
+#: if it sends nothing for 400 ms.
+_PAGE_BYTES_PER_MBPS: Final = 8500
 
 
 def page_limit_bytes(link_mbps: float) -> int:
-    """Return how much text an owner shows another entry at once.
+    """Return how much text an owner sends to another entry in one page.
 
-    Failure: pages that are large for a link queue behind each other.
-    Symptom: a job is taken over though its owner lives. Where the link is
-    fast a small page costs as much: a step whose last groups need two of
-    them is read half a second later.
+    Failure: pages that are large for the link queue behind each other.
+    Symptom: another entry takes the job over although its owner is alive.
+    On a fast link, small pages are harmful too: if the last groups of a step
+    need two pages, the trainer has them half a second later.
 
     Parameters
     ----------
     link_mbps
-        The bandwidth of the owner's link, in Mbit/s; 0 is not known.
+        Bandwidth of the owner's link, in Mbit/s; 0 if it is not known.
     """
-    carried = int(link_mbps * _BYTES_PER_MBPS)
-    return min(max(carried, _SMALLEST_BYTES), LARGEST_PAGE_BYTES)
+    carried_bytes = int(link_mbps * _PAGE_BYTES_PER_MBPS)
+    return min(max(carried_bytes, _SMALLEST_PAGE_BYTES), LARGEST_PAGE_BYTES)
 
 
 class Ledger:
-    """Positions of results; grows and never changes."""
+    """Append-only list of results; the index of a result is its position.
+
+    Parameters
+    ----------
+    records
+        Records that the store holds, in the order of their numbers from the
+        first on.
+    """
 
     def __init__(self, records: Iterable[ResultRecord] = ()) -> None:
         self._results: list[ItemResult] = []
@@ -58,14 +67,14 @@
     def restored(
         cls, results: Iterable[ItemResult], next_number: int
     ) -> Ledger:
-        """Go on with the ledger of another process.
+        """Return a ledger with the content of another process's ledger.
 
         Parameters
         ----------
         results
-            All results that have a position there, in their order.
+            All results of the other ledger, in the order of their positions.
         next_number
-            The number of the first record that is not known there.
+            The number of the first record that the other ledger lacks.
         """
         ledger = cls()
         ledger._results = list(results)
@@ -82,11 +91,11 @@
         return item in self._items
 
     def append(self, record: ResultRecord) -> None:
-        """Take the record that the store holds under the next number.
+        """Add the record that the store holds under the next number.
 
-        A second result of an item is passed over, here as in every other
-        process: were a record ever written that repeats one, readers
-        would still see each item once, at the same position everywhere.
+        A second result of an item is ignored, as in every other process. If
+        a record ever repeated an item, readers would still receive the item
+        once, at the same position from every process.
         """
         self.next_number += 1
         for result in record.results:
@@ -96,7 +105,7 @@
             self._results.append(result)
 
     def unlisted(self, results: Iterable[ItemResult]) -> Iterator[ItemResult]:
-        """Drop results of items that have a position already."""
+        """Return those of the results whose items have no position yet."""
         return (result for result in results if result.item not in self._items)
 
     def behind(self, position: int) -> tuple[ItemResult, ...]:
@@ -104,14 +113,15 @@
         return tuple(self._results[position:])
 
     def page(self, after: int, limit_bytes: int) -> tuple[ItemResult, ...]:
-        """Return results from a position on, at least one if there is one.
+        """Return consecutive results, as many as fit into a page.
 
         Parameters
         ----------
         after
-            The first position, from zero.
+            Position of the first result, counted from zero.
         limit_bytes
-            How much text the page may hold, if it is more than one result.
+            How much text the page may hold. The first result is returned
+            whatever its size.
         """
         return tuple(that_fit(self._results[after:], limit_bytes))
 
@@ -119,7 +129,16 @@
 def that_fit(
     results: Iterable[ItemResult], limit_bytes: int
 ) -> Iterator[ItemResult]:
-    """Return results up to so much text, at least one if there is one."""
+    """Yield results until their text exceeds a size limit.
+
+    Parameters
+    ----------
+    results
+        The results, in the order in which they are returned.
+    limit_bytes
+        How much text the results may have together. The first result is
+        returned whatever its size.
+    """
     size_bytes = 0
     for number, result in enumerate(results):
         size_bytes += len(result.text.encode())
--- a/bergamotdoor/jobs/listing.py
+++ b/bergamotdoor/jobs/listing.py
@@ -1,11 +1,12 @@
-"""When results are listed that a trainer can't go on with yet.
+"""Decision whether complete groups wait until the trainer's target is met.
 
-Load pattern: a trainer waits until so many groups of a step are whole. It
-begins a read each half second at most; a read waits for a second, and returns
-as soon as it has a result. Groups end in a trickle, the last one that is
-needed some seconds behind the first. Listed one by one, each of the last ones
-takes the read that waits, and the group that ends the step comes half a
-second too early for the next one.
+Load pattern: a trainer waits until a target number of a step's groups is
+complete. It begins a read every half second at most. A read waits for up to a
+second and returns as soon as it has a result. Groups become complete one
+after the other, and the last one that the trainer needs some seconds after
+the first. If the last groups were listed one by one, each would end the read
+that waits, and the group that completes the target would be listed half a
+second before the next read begins.
 """
 
 from __future__ import annotations
@@ -15,54 +16,54 @@
 
 import msgspec
 
-#: How long results are held back for the target at the most. It is twice the
-#: pause between two reads: the read which waits when the target is reached
-#: has mostly begun half a second before, so the step ends with it. A read
-#: waits as long, so a longer hold would gain nothing.
+#: How long results wait for the target at most. This is twice the pause
+#: between two reads: the read that waits when the target is reached has
+#: usually begun half a second before, so it returns the end of the step. A
+#: read waits no longer than this, so a longer hold would gain nothing.
 _LONGEST_HOLD_S: Final = 1
 LONGEST_HOLD: Final = dt.timedelta(seconds=_LONGEST_HOLD_S)
-#: The share of the target that is missing at the most while results are
-#: held. The last quarter of the groups ends within a second or two; before
-#: that readers get each group as soon as it is whole.
-_LAST_SHARE: Final = 0.25
-_NO_TIME: Final = dt.timedelta()
+#: Results are held while at most this share of the target is missing. The
+#: last quarter of the groups becomes complete within a second or two. Before
+#: that, each group is listed as soon as it is complete.
+_LAST_GROUPS_SHARE: Final = 0.25
+_ZERO: Final = dt.timedelta()
 
 
 class Target(msgspec.Struct, frozen=True):
-    """How far a step is from what its trainer waits for."""
+    """Number of complete groups that a trainer waits for."""
 
-    #: How many whole groups the trainer wants.
+    #: How many complete groups the trainer wants.
     groups: int
-    #: How many of them are not whole.
+    #: How many more groups have to become complete.
     missing: int
 
     @property
     def reached(self) -> bool:
-        """Whether the trainer can go on."""
+        """Whether all groups that the trainer waits for are complete."""
         return self.missing <= 0
 
     @property
     def near(self) -> bool:
-        """Whether only its last groups are missing."""
-        return 0 < self.missing <= self.groups * _LAST_SHARE
+        """Whether only the last groups of the target are missing."""
+        return 0 < self.missing <= self.groups * _LAST_GROUPS_SHARE
 
 
 def holds(target: Target, held: dt.timedelta, due_in: dt.timedelta) -> bool:
-    """Return whether results that are whole should wait for others.
+    """Return whether results of complete groups should wait for others.
 
-    Failure: results are listed a moment before those that end the step.
+    Failure: results are listed shortly before those that complete the target.
     Symptom: the trainer reads the last ones half a second late on average,
-    and a trainer whose steps take as long as it has for them falls behind
-    for good. Nothing waits for longer than ``LONGEST_HOLD`` or beyond the
-    step's due time, and nothing once the trainer can go on.
+    and a trainer whose steps take all the time that it has for them never
+    catches up. Results wait no longer than ``LONGEST_HOLD`` and not beyond
+    the due time of the step. Once the target is reached, no result waits.
 
     Parameters
     ----------
     target
-        What the trainer waits for.
+        The groups that the trainer waits for.
     held
         How long the results have waited.
     due_in
-        How long it is until the step is due.
+        Time left until the step is due; negative if it is overdue.
     """
-    return target.near and due_in > _NO_TIME and held < LONGEST_HOLD
+    return target.near and due_in > _ZERO and held < LONGEST_HOLD
--- a/bergamotdoor/jobs/messages.py
+++ b/bergamotdoor/jobs/messages.py
@@ -1,4 +1,4 @@
-"""Batch jobs, their items and results."""
+"""Batch jobs, their items and results, as stored and sent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ScoreCall(msgspec.Struct, frozen=True):
-    """The call that scores an item's text, sent once the text is whole.
+    """Request that scores an item's text, sent once the text is complete.
 
     It may run more than once.
     """
@@ -31,63 +31,68 @@
 
 
 class ItemSpec(msgspec.Struct, frozen=True):
-    """One request for tokens, as the trainer wants it sent."""
+    """Request of a batch job for tokens, as the trainer specified it."""
 
     item: ItemId
     path: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    #: Items of one group share their prompt.
+    #: The items of a group share their prompt.
     group: GroupId
-    #: The trainer's guess at the length, in tokens; 0 is none.
+    #: The trainer's estimate of the text's length, in tokens; 0 if it gave
+    #: none.
     expected_tokens: int = 0
-    #: The most it may have, in tokens; 0 is not told.
+    #: Maximum length of the text, in tokens; 0 if it is not known.
     most_tokens: int = 0
-    #: None where texts are taken as they are.
+    #: ``None`` if the text needs no score.
     score_call: ScoreCall | None = None
 
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """A batch job as it was handed in; never changes."""
+    """Batch job as submitted; never changes."""
 
     job: JobId
-    #: Which route it came in by, and goes out by.
+    #: Host and path of the submission. They select the route of the job, and
+    #: its items are sent with this host.
     host: str
     path: str
     model: ModelId
-    #: The oldest version whose tokens the trainer takes.
+    #: The oldest weight version whose tokens the trainer accepts.
     min_version: WeightVersion
     items: tuple[ItemSpec, ...]
-    #: How many whole groups the trainer waits for.
+    #: How many complete groups the trainer waits for.
     target_groups: int = 0
-    #: Whose job it is; empty is nobody's.
+    #: Client account of the job; empty if it has none.
     account: AccountId = AccountId('')
 
 
 class ItemState(enum.Enum):
-    """How an item ended."""
+    """Final state of an item."""
 
+    #: The item has a text, and a score if it needs one.
     COMPLETED = 'completed'
+    #: The item has no text or no score, and is not tried again.
     LOST = 'lost'
 
 
 class ItemResult(msgspec.Struct, frozen=True):
-    """What became of an item."""
+    """Final state of an item, with its text and score."""
 
     item: ItemId
     state: ItemState
     text: str = ''
-    #: Every version that generated a part of the text.
+    #: Every weight version that generated a part of the text.
     versions: tuple[WeightVersion, ...] = ()
-    #: The scoring service's proof of its answer; empty without a score call.
+    #: Proof of the scoring service's answer; empty without a score call.
     score: str = ''
 
 
 class ResultRecord(msgspec.Struct, frozen=True):
-    """Results that were stored together, under one number.
+    """Results that are stored together, under one record number.
 
-    ``writer`` is drawn anew for each record: who finds the number taken
-    can tell whether it was by its own call, whose answer was lost.
+    ``writer`` is a new random value for each record. If the answer to a call
+    that stored the record was lost, a writer that finds the number taken can
+    tell from it whether the stored record is its own.
     """
 
     writer: str
@@ -95,19 +100,20 @@
 
 
 class JobRecord(msgspec.Struct, frozen=True):
-    """Who runs a job, and how its body is stored."""
+    """Owner of a job, and how the job's body is stored."""
 
     owner: NodeId
-    #: Where other processes reach the owner.
+    #: Address at which other processes reach the owner.
     address: Address
-    #: Raised by each takeover.
+    #: Number of the ownership term; each takeover raises it.
     term: int
+    #: Number of objects that hold the job's body.
     parts: int
-    #: Whose job it is; empty is nobody's.
+    #: Client account of the job; empty if it has none.
     account: AccountId = AccountId('')
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """Whether a job's work is over; never taken back."""
+    """Whether a job has ended; an ended job never becomes active again."""
 
     ended: bool = False
--- a/bergamotdoor/jobs/open_items.py
+++ b/bergamotdoor/jobs/open_items.py
@@ -1,8 +1,9 @@
-"""The items of a job that have no result yet, and what each has so far.
+"""Items of a job that have no result yet, with their texts so far.
 
-An item waits and runs on the board; its events gather in a transcript. A
-text that is whole wants a score, where its trainer names a service for that,
-and has its result then. All of it can be kept for another owner.
+The item queue of the job tracks which items wait and which run; their events
+are added to transcripts. If the trainer names a scoring service for an item,
+its complete text then waits for a score; otherwise the text is the result at
+once. All of this can be stored, so that another owner of the job continues.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class OpenItems:
-    """The items of one job on their way to a result.
+    """Items of one job from their first run to their result.
 
     Parameters
     ----------
@@ -43,9 +44,9 @@
     ledger
         Results that have a position already.
     partial
-        What the owner before kept.
+        Texts that the previous owner stored, by item.
     on_finished
-        Called when results wait to be stored.
+        Called when results of complete groups wait to be stored.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         on_finished: Callable[[], None],
     ) -> None:
         self.board = JobBoard(spec, ledger)
-        #: Texts that are whole and have no score.
+        #: Complete texts that have no score.
         self.scores = ScoreQueue()
         self._specs = {item.item: item for item in spec.items}
         self._transcripts: dict[ItemId, Transcript] = {}
@@ -66,11 +67,19 @@
                 self._restore(item, saved)
 
     def transcript(self, slot: Slot) -> Transcript:
-        """Return what an item has so far."""
+        """Return the transcript of an item; a new one if it has none."""
         return self._transcripts.setdefault(slot.spec.item, Transcript())
 
     def take_text(self, result: ItemResult, score_failures: int = 0) -> None:
-        """Take an item's whole text; it may want a score yet."""
+        """Record the complete text of an item, which may still need a score.
+
+        Parameters
+        ----------
+        result
+            The result of the item, with or without a score.
+        score_failures
+            How many times the item's score call was answered with a failure.
+        """
         self._transcripts.pop(result.item, None)
         spec = self._specs[result.item]
         if spec.score_call is None or result.score:
@@ -82,32 +91,44 @@
     def give_back(
         self, slot: Slot, end: RunEnd, where: UpstreamId, now: dt.timedelta
     ) -> None:
-        """Take an item that ran without a text."""
+        """Queue an item again whose run ended without a text, or lose it.
+
+        Parameters
+        ----------
+        slot
+            The item.
+        end
+            Why the run gave no text.
+        where
+            The upstream that the item ran at.
+        now
+            The monotonic time.
+        """
         item = slot.spec.item
         if end in {RunEnd.TOO_OLD, RunEnd.FAILED}:
-            # Another engine may begin anew; what was made does not fit.
+            # The text so far cannot be used; another engine starts anew.
             self._transcripts.pop(item, None)
         self.board.give_back(item, end, where, now)
-        self._note_finished()
+        self._notify_finished()
 
     def take_score(self, text: Unscored, score: str) -> None:
-        """Take the score of a text."""
+        """Record the score of a text, which completes its item."""
         self.scores.drop(text.spec.item)
         self._finish(msgspec.structs.replace(text.result, score=score))
 
     def give_back_score(
         self, text: Unscored, failures: int, most: int, now: dt.timedelta
     ) -> None:
-        """Take a score call that gave none; it is sent again, or given up.
+        """Record that a call gave no score; retry it or lose the item.
 
         Parameters
         ----------
         text
-            The text that was to be scored.
+            The text without a score.
         failures
-            How many upstreams answered that they failed.
+            How many upstreams answered this call with a failure.
         most
-            After how many such answers there will be none.
+            Number of failures of a text after which its item is lost.
         now
             The monotonic time.
         """
@@ -117,24 +138,25 @@
             self._finish(ItemResult(text.spec.item, ItemState.LOST))
 
     def stored(self, result: ItemResult) -> None:
-        """Take a result that has its position, by whichever owner."""
+        """Record that a result has a position, whichever owner stored it."""
         self.scores.drop(result.item)
         self.board.stored(result)
 
     def give_up(self) -> None:
-        """End every open item as lost."""
+        """Record every item without a result as lost."""
         for text in tuple(self.scores):
             self.scores.drop(text.spec.item)
         self.board.give_up()
-        self._note_finished()
+        self._notify_finished()
 
     def saved(self, least_events: int) -> dict[ItemId, SavedTranscript]:
-        """Return what the next owner can go on with.
+        """Return the texts from which the next owner can continue, by item.
 
         Parameters
         ----------
         least_events
-            How many events a text must have that is not whole.
+            Minimum number of events of a text that is not complete. Shorter
+            ones are left out.
         """
         saved = {
             item: transcript.saved()
@@ -156,10 +178,10 @@
             self._transcripts[item] = Transcript.restored(saved)
 
     def _finish(self, result: ItemResult) -> None:
-        """Take a result; it is listed once its group is whole."""
+        """Record a result; it is listed once its group is complete."""
         self.board.finish(result)
-        self._note_finished()
+        self._notify_finished()
 
-    def _note_finished(self) -> None:
+    def _notify_finished(self) -> None:
         if self.board.has_finished:
             self._on_finished()
--- a/bergamotdoor/jobs/placement.py
+++ b/bergamotdoor/jobs/placement.py
@@ -1,12 +1,15 @@
-"""Which engine runs an item.
+"""Choice of the engine that runs an item.
 
-Load pattern: a step's items arrive at once and fill the engines; several
-processes place on the same engines. An engine gets no more than its slots,
-as far as is known, since items that wait inside an engine can't be moved.
-A group goes where its prompt is cached as long as that engine is about as
-empty as the emptiest; otherwise the fastest engine is taken, and among those
-alike the emptiest. A prompt that is read again costs a millisecond, a full
-engine generates more slowly and puts long items back for lack of memory.
+Load pattern: the items of a step arrive together and fill the engines, and
+several processes place items on the same engines. An engine receives no more
+items than it has slots, as far as this process knows its load, since an item
+that waits inside an engine cannot be moved.
+
+A group runs where its prompt is cached, as long as that engine has about as
+few requests as the least loaded one. Otherwise the fastest engine is chosen,
+and of equally fast ones the least loaded. Reading a prompt again costs a
+millisecond. A full engine is worse: it generates more slowly, and preempts
+long items when it runs out of memory.
 """
 
 from __future__ import annotations
@@ -31,55 +34,58 @@
     avoid: frozenset[UpstreamId],
     now: dt.timedelta,
 ) -> Upstream | None:
-    """Return the engine for an item; None if it should wait.
+    """Return the engine for an item, or ``None`` if the item should wait.
 
     Parameters
     ----------
     candidates
-        Engines whose weights the job takes.
+        Engines whose weight version the job accepts.
     loads
-        How full they are.
+        Load and health of the engines.
     speeds
-        How fast they are.
+        Event intervals of the engines.
     home
-        Where the prompt of the item's group is cached.
+        The engine that has the prompt of the item's group in its cache.
     avoid
-        Where the item broke last; taken only if there is no other.
+        Engines where the item's last run broke, failed or was moved away.
+        They are used only if there are no other candidates.
     now
         The monotonic time.
     """
-    able = [one for one in candidates if one.upstream not in avoid]
+    preferred = [one for one in candidates if one.upstream not in avoid]
     free = [
-        one for one in able or candidates if free_slots(one, loads, now) > 0
+        one
+        for one in preferred or candidates
+        if free_slots(one, loads, now) > 0
     ]
-    at_home = next((one for one in free if one.upstream == home), None)
-    if at_home is not None and _as_empty(at_home, free, loads, now):
-        return at_home
+    with_prompt = next((one for one in free if one.upstream == home), None)
+    if with_prompt is not None and _has_low_load(with_prompt, free, loads, now):
+        return with_prompt
     return min(
         free,
         key=lambda one: (
-            speeds.interval_s(one.upstream) * (1 + _fullness(one, loads, now))
+            speeds.interval_s(one.upstream) * (1 + _load_ratio(one, loads, now))
         ),
         default=None,
     )
 
 
-def _as_empty(
-    home: Upstream,
+def _has_low_load(
+    engine: Upstream,
     free: Sequence[Upstream],
     loads: Loads,
     now: dt.timedelta,
 ) -> bool:
-    """Return whether an engine has no more than one item above the least."""
-    least = min(loads.of(one.upstream).busy(now) for one in free)
-    return loads.of(home.upstream).busy(now) <= least + 1
+    """Return whether an engine has at most one request above the minimum."""
+    minimum = min(loads.of(one.upstream).busy(now) for one in free)
+    return loads.of(engine.upstream).busy(now) <= minimum + 1
 
 
 def free_slots(upstream: Upstream, loads: Loads, now: dt.timedelta) -> int:
-    """Return how many more items an engine takes now."""
+    """Return how many more items may be sent to an engine now."""
     load = loads.of(upstream.upstream)
     return 0 if load.resting(now) else upstream.slots - load.busy(now)
 
 
-def _fullness(upstream: Upstream, loads: Loads, now: dt.timedelta) -> float:
+def _load_ratio(upstream: Upstream, loads: Loads, now: dt.timedelta) -> float:
     return loads.of(upstream.upstream).busy(now) / upstream.slots
--- a/bergamotdoor/jobs/progress.py
+++ b/bergamotdoor/jobs/progress.py
@@ -1,11 +1,12 @@
-"""How fast items advance, and which should go on at another engine.
-
-Load pattern: lengths are heavy-tailed, so after the first second a step
-waits for a few long items, one token after the other; an engine runs one
-item hardly faster than sixteen. What can be won is speed: engines differ,
-some turn slow, and one that loads weights or hangs stands still. An item
-goes on elsewhere behind its last event, for the price of reading what it
-has so far, which is a hundred times as fast as generating it.
+"""Progress of running items, and which of them move to another engine.
+
+Load pattern: lengths are heavy-tailed. After the first second a step waits
+for a few long items, whose tokens are generated one after the other, and an
+engine generates one item hardly faster than sixteen. Time can be gained
+through the speed of the engine: engines differ, some become slow, and an
+engine that loads weights or hangs generates nothing. An item that moves
+continues after its last event. The new engine first has to read the prompt
+and the text so far, which is a hundred times as fast as generating them.
 """
 
 from __future__ import annotations
@@ -20,50 +21,59 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Mapping
 
-#: Events come every 40 ms; an engine that shows none for this long loads
-#: weights, which takes three times as long, or hangs.
-_STALL_MS: Final = 350
-STALL: Final = dt.timedelta(milliseconds=_STALL_MS)
-#: The first event waits for the prompt to be read, and maybe for a slot.
-_FIRST_STALL_MS: Final = 700
-FIRST_STALL: Final = dt.timedelta(milliseconds=_FIRST_STALL_MS)
-#: A move costs a connection and a prompt of some thousand tokens, about
-#: 30 ms; below this the gain is not worth the unrest.
+#: An item is stalled if its engine sends no event for this long. Events
+#: arrive every 40 ms. An engine that stays silent for longer than this
+#: either loads weights, which takes three times as long, or hangs.
+_STALL_TIMEOUT_MS: Final = 350
+STALL: Final = dt.timedelta(milliseconds=_STALL_TIMEOUT_MS)
+#: An item is also stalled if the first event of its run takes longer than
+#: this: the engine first reads the prompt, and the item may wait for a slot.
+_FIRST_EVENT_TIMEOUT_MS: Final = 700
+FIRST_STALL: Final = dt.timedelta(milliseconds=_FIRST_EVENT_TIMEOUT_MS)
+#: An item moves if that gains more time than this. A move costs a connection
+#: and the reading of a prompt of some thousand tokens, about 30 ms. A
+#: smaller gain does not justify the disturbance.
 _LEAST_GAIN_MS: Final = 250
 LEAST_GAIN: Final = dt.timedelta(milliseconds=_LEAST_GAIN_MS)
-#: Between two moves of an item.
+#: Minimum time between two moves of an item.
 _LEAST_STAY_MS: Final = 500
 LEAST_STAY: Final = dt.timedelta(milliseconds=_LEAST_STAY_MS)
-#: How much longer an item is expected to become that has outgrown its hint,
-#: as a share of what it has. The hints are often far off.
-_OVERTIME: Final = 0.5
-_SMOOTHING: Final = 0.3
-#: A pace is measured over so many events, a fifth of a second at the usual
-#: one: longer than the jitter of one event, short beside a step.
-_PACE_EVENTS: Final = 5
-#: Assumed while no engine was measured.
-_USUAL_S: Final = 0.04
-#: How much slower an engine must be for its items to leave it. A full engine
-#: is 4 to 10 % slower than an empty one; engines of one service differ by up
-#: to a third, one that has turned slow is several times as slow.
+#: How many more events an item is expected to have once it has outgrown the
+#: trainer's estimate, as a share of its events so far. The estimates are
+#: often far off.
+_OVERRUN_SHARE: Final = 0.5
+#: Weight of the newest sample in an engine's event interval.
+_NEWEST_WEIGHT: Final = 0.3
+#: Number of events in a sample of the event interval. They take a fifth of a
+#: second at the usual interval: longer than the jitter of one event, and
+#: short compared with a step.
+_EVENTS_PER_SAMPLE: Final = 5
+#: Event interval that is assumed while no engine has been measured.
+_DEFAULT_INTERVAL_S: Final = 0.04
+#: Items leave an engine only if it is slower than the other engine by this
+#: factor. A full engine is 4 to 10 % slower than an empty one. Engines of one
+#: service differ by up to a third; an engine that has become slow is several
+#: times as slow.
 _LEAST_RATIO: Final = 1.15
 
 
 class Progress:
-    """One run of an item at one engine.
+    """Progress of one run of an item at one engine.
 
     Parameters
     ----------
-    item, upstream
-        What runs where.
+    item
+        The item.
+    upstream
+        The engine that runs the item.
     started_at
-        When the run began.
+        Monotonic time at which the run began.
     expected_events
-        How many events the item is expected to have in all.
+        Expected number of events of the item, over all of its runs.
     first_event
-        How many it had before this run.
+        Number of events that the item had before this run.
     most_events
-        How many it may have at most; 0 if that is not known.
+        Maximum number of events of the item; 0 if it is not known.
     """
 
     def __init__(
@@ -79,104 +89,123 @@
         self.upstream = upstream
         self.started_at = started_at
         self.first_event = first_event
+        #: Number of events of the item so far, over all of its runs.
         self.events = first_event
         self.last_event_at: dt.timedelta | None = None
         self._expected_events = expected_events
         self._most_events = most_events
-        #: From where the pace is measured next.
-        self._marked_events = first_event
-        self._marked_at: dt.timedelta | None = None
-        self._paces_s: list[float] = []
+        #: Number of events when the current sample began.
+        self._sampled_events = first_event
+        #: Monotonic time at which the current sample began.
+        self._sampled_at: dt.timedelta | None = None
+        #: Measured event intervals that ``take_paces`` has not returned yet.
+        self._new_intervals_s: list[float] = []
 
     def advance(self, events: int, now: dt.timedelta) -> None:
-        """Take that so many events are there."""
+        """Record that events have arrived.
+
+        Parameters
+        ----------
+        events
+            Number of events of the item so far, over all of its runs.
+        now
+            The monotonic time.
+        """
         before = self.last_event_at
         self.events = events
         self.last_event_at = now
-        if before is None or now - before > STALL or self._marked_at is None:
-            # Waiting for a prompt, a slot or weights is not a pace.
-            self._mark(now)
+        if before is None or now - before > STALL or self._sampled_at is None:
+            # A wait for the prompt, a slot or weights is not an event
+            # interval.
+            self._start_sample(now)
             return
-        count = events - self._marked_events
-        if count >= _PACE_EVENTS:
-            took = now - self._marked_at
-            self._paces_s.append(took.total_seconds() / count)
-            self._mark(now)
+        count = events - self._sampled_events
+        if count >= _EVENTS_PER_SAMPLE:
+            took = now - self._sampled_at
+            self._new_intervals_s.append(took.total_seconds() / count)
+            self._start_sample(now)
 
     def take_paces(self) -> Iterator[float]:
-        """Return the seconds per event measured since the last time."""
-        while self._paces_s:
-            yield self._paces_s.pop(0)
+        """Remove and yield the measured event intervals, in seconds."""
+        while self._new_intervals_s:
+            yield self._new_intervals_s.pop(0)
 
     def stalled(self, now: dt.timedelta) -> bool:
-        """Return whether nothing has come for too long."""
+        """Return whether the next event is overdue."""
         if self.last_event_at is None:
             return now - self.started_at > FIRST_STALL
         return now - self.last_event_at > STALL
 
     @property
     def remaining(self) -> float:
-        """How many events are probably missing.
+        """Expected number of events that the item still lacks.
 
-        One item in fourteen runs up to the most that it may have, and most
-        of those that outgrow their hint by much.
+        One item in fourteen reaches its maximum length, and so do most of
+        the items that outgrow the trainer's estimate by much.
         """
         missing = max(
-            self._expected_events - self.events, self.events * _OVERTIME
+            self._expected_events - self.events, self.events * _OVERRUN_SHARE
         )
         if not self._most_events:
             return missing
         return min(missing, max(self._most_events - self.events, 0))
 
-    def _mark(self, now: dt.timedelta) -> None:
-        self._marked_events = self.events
-        self._marked_at = now
+    def _start_sample(self, now: dt.timedelta) -> None:
+        self._sampled_events = self.events
+        self._sampled_at = now
 
 
 class Speeds:
-    """Seconds per event at each engine, by what its items show."""
+    """Event interval of each engine, measured at the items that it runs."""
 
     def __init__(self) -> None:
-        self._interval_s: dict[UpstreamId, float] = {}
+        self._intervals_s: dict[UpstreamId, float] = {}
 
     def learn(self, progress: Progress) -> None:
-        """Take how fast a run was since the last time.
-
-        Failure: the wait for a prompt, a slot or weights is taken for an
-        engine's pace. Symptom: each engine looks slow as soon as it has new
-        items; items leave it every half second and wait anew elsewhere, up
-        to ten times. The pace is measured between events only.
+        """Add the event intervals measured since the last call.
+
+        Failure: the wait for a prompt, a slot or weights counts as an event
+        interval of the engine. Symptom: each engine seems slow as soon as it
+        has new items; items leave it every half second and wait again at
+        another engine, up to ten times. An interval is therefore measured
+        between events only.
+
+        Parameters
+        ----------
+        progress
+            A run, whose measured intervals are removed from it.
         """
-        for pace_s in progress.take_paces():
-            known_s = self._interval_s.get(progress.upstream, pace_s)
-            self._interval_s[progress.upstream] = known_s + _SMOOTHING * (
-                pace_s - known_s
+        for interval_s in progress.take_paces():
+            known_s = self._intervals_s.get(progress.upstream, interval_s)
+            self._intervals_s[progress.upstream] = known_s + _NEWEST_WEIGHT * (
+                interval_s - known_s
             )
 
     def interval_s(self, upstream: UpstreamId) -> float:
-        """Return the seconds per event at an engine.
+        """Return the time between two events at an engine, in seconds.
 
-        One that was never measured is taken to be like the others.
+        An engine that has not been measured is assumed to have the median
+        interval of the others.
         """
-        known_s = self._interval_s.get(upstream)
-        return self._usual_s() if known_s is None else known_s
+        known_s = self._intervals_s.get(upstream)
+        return self._median_interval_s() if known_s is None else known_s
 
     def forget(self, upstream: UpstreamId) -> None:
-        """Drop an engine that is gone."""
-        self._interval_s.pop(upstream, None)
+        """Remove an engine that no longer exists."""
+        self._intervals_s.pop(upstream, None)
 
-    def _usual_s(self) -> float:
-        paces_s = sorted(self._interval_s.values())
-        return paces_s[len(paces_s) // 2] if paces_s else _USUAL_S
+    def _median_interval_s(self) -> float:
+        sorted_s = sorted(self._intervals_s.values())
+        return sorted_s[len(sorted_s) // 2] if sorted_s else _DEFAULT_INTERVAL_S
 
 
 class Move(msgspec.Struct, frozen=True):
-    """An item that should go on at another engine."""
+    """Decision to continue an item at another engine."""
 
     item: ItemId
-    #: Why, for the log.
+    #: Whether the item is stalled; otherwise its engine is slow. For the log.
     stalled: bool
-    #: Where it should go on.
+    #: The engine at which the item continues.
     goal: UpstreamId
 
 
@@ -186,45 +215,53 @@
     speeds: Speeds,
     now: dt.timedelta,
 ) -> Iterator[Move]:
-    """Return the items to move, those that gain most first.
+    """Yield the items that should move, those with most events left first.
+
+    An item moves to the fastest engine that has a free slot and no stalled
+    item, if the item is stalled or would end sooner there by more than
+    ``LEAST_GAIN``.
 
     Parameters
     ----------
     running
         Runs in progress.
     room
-        Free slots of the engines that would take an item.
+        Number of free slots of each engine that accepts an item.
     speeds
-        How fast the engines are.
+        Event intervals of the engines.
     now
         The monotonic time.
     """
-    settled = [one for one in running if now - one.started_at > LEAST_STAY]
-    halted = {one.upstream for one in settled if one.stalled(now)}
-    places = sorted(
+    movable = [one for one in running if now - one.started_at > LEAST_STAY]
+    stalled_upstreams = {one.upstream for one in movable if one.stalled(now)}
+    slots_by_speed = sorted(
         (speeds.interval_s(name), name)
         for name, free in room.items()
-        if name not in halted
+        if name not in stalled_upstreams
         for _ in range(free)
     )
-    for progress in sorted(settled, key=_remaining, reverse=True):
-        if not places:
+    for progress in sorted(movable, key=_remaining_events, reverse=True):
+        if not slots_by_speed:
             return
-        interval_s, best = places[0]
+        interval_s, fastest = slots_by_speed[0]
         stalled = progress.stalled(now)
-        gains = _gain(progress, speeds, interval_s) > LEAST_GAIN
-        if best != progress.upstream and (stalled or gains):
-            places.pop(0)
-            yield Move(progress.item, stalled, best)
+        gains = _time_gained(progress, speeds, interval_s) > LEAST_GAIN
+        if fastest != progress.upstream and (stalled or gains):
+            slots_by_speed.pop(0)
+            yield Move(progress.item, stalled, fastest)
 
 
-def _remaining(progress: Progress) -> float:
+def _remaining_events(progress: Progress) -> float:
     return progress.remaining
 
 
-def _gain(
+def _time_gained(
     progress: Progress, speeds: Speeds, interval_s: float
 ) -> dt.timedelta:
+    """Return how much sooner an item ends at an engine of this interval.
+
+    The result is zero if its own engine is not slower by ``_LEAST_RATIO``.
+    """
     own_s = speeds.interval_s(progress.upstream)
     if own_s < interval_s * _LEAST_RATIO:
         return dt.timedelta()
--- a/bergamotdoor/jobs/reservations.py
+++ b/bergamotdoor/jobs/reservations.py
@@ -1,9 +1,10 @@
-"""Slots that are kept for items on their way to another engine.
+"""Slots reserved for items that move to another engine.
 
 Load pattern: a step has more items than the engines have slots, so each slot
-that comes free is taken at once. An item that moves gives its own slot up
-first; by the time it can begin anew, the one it was to move to has gone to
-an item that has not begun, and it waits for the next, or for a slower one.
+that becomes free is used at once. An item that moves first releases its own
+slot. Without a reservation, an item that has not started would have the slot
+at the other engine by the time the moved item can start there; the moved item
+would have to wait for another slot, or run at a slower engine.
 """
 
 from __future__ import annotations
@@ -19,10 +20,11 @@
     from bergamotdoor.fleet.loads import Loads
     from bergamotdoor.types import ItemId
 
-#: A moved item is back within milliseconds. One that ended meanwhile, or
-#: whose job did, keeps its slot for no longer.
-_KEPT_MS: Final = 200
-KEPT: Final = dt.timedelta(milliseconds=_KEPT_MS)
+#: How long a slot stays reserved. A moved item starts again within
+#: milliseconds. The limit frees the slot of an item that ended meanwhile, or
+#: whose job ended.
+_RESERVATION_TIMEOUT_MS: Final = 200
+KEPT: Final = dt.timedelta(milliseconds=_RESERVATION_TIMEOUT_MS)
 
 
 class _Reservation(msgspec.Struct, frozen=True):
@@ -31,38 +33,41 @@
 
 
 class Reservations:
-    """Which slots are kept for which items; they count as taken.
+    """Reserved slots by item; they count towards the load of their engine.
 
     Parameters
     ----------
     loads
-        Where kept slots are counted.
+        Loads of the engines, in which the reserved slots are counted.
     """
 
     def __init__(self, loads: Loads) -> None:
         self._loads = loads
-        self._kept: dict[ItemId, _Reservation] = {}
+        self._reservations: dict[ItemId, _Reservation] = {}
 
     def keep(
         self, item: ItemId, upstream: UpstreamId, now: dt.timedelta
     ) -> None:
-        """Keep a slot for an item that moves."""
+        """Reserve a slot for an item, in place of an earlier reservation."""
         self.take(item)
-        self._kept[item] = _Reservation(upstream, now + KEPT)
+        self._reservations[item] = _Reservation(upstream, now + KEPT)
         self._loads.of(upstream).kept += 1
 
     def take(self, item: ItemId) -> UpstreamId | None:
-        """Return where a slot is kept for an item, and keep it no longer."""
-        found = self._kept.pop(item, None)
+        """Remove the reservation of an item and return its engine, if any."""
+        found = self._reservations.pop(item, None)
         if found is None:
             return None
         load = self._loads.of(found.upstream)
-        # A load that was forgotten meanwhile keeps nothing.
+        # If the engine was forgotten after the reservation, its load is a
+        # new one without reserved slots.
         load.kept = max(load.kept - 1, 0)
         return found.upstream
 
     def expire(self, now: dt.timedelta) -> None:
-        """Give up the slots of items that have not come."""
-        late = [item for item, one in self._kept.items() if now >= one.until]
-        for item in late:
+        """Remove the reservations of items that did not start in time."""
+        expired = [
+            item for item, one in self._reservations.items() if now >= one.until
+        ]
+        for item in expired:
             self.take(item)
--- a/bergamotdoor/jobs/scoring.py
+++ b/bergamotdoor/jobs/scoring.py
@@ -1,13 +1,13 @@
-"""Which score calls are sent, when, and how many at once.
-
-Load pattern: the items of a step end together, so dozens of texts want a
-score within a tenth of a second, from a service that answers callers beside
-it: people who wait for a few hundred milliseconds, while a step has seconds.
-So score calls take no more of a service than its free slots and leave some
-of these to the callers. What waits, waits here, where it can go on at
-whichever upstream is free first, and not in an upstream's queue. The calls
-of the group that is nearest to being whole go first: a trainer has no use
-for a part of a group.
+"""Decisions about score calls: their order, their number and their retries.
+
+Load pattern: the items of a step end together, so dozens of texts need a
+score within a tenth of a second. The scoring service also serves other
+callers: people who wait for a few hundred milliseconds, while a step has
+seconds. Score calls therefore use only free slots of the service and leave a
+share of these to the callers. Calls for which there is no slot wait here, and
+not in the queue of an upstream, so that each can go to whichever upstream is
+free first. Texts of the group that is closest to being complete go first,
+since a trainer cannot use a part of a group.
 """
 
 from __future__ import annotations
@@ -34,86 +34,101 @@
     from bergamotdoor.fleet.upstreams import Upstream
     from bergamotdoor.types import GroupId, ItemId
 
-#: The share of an upstream's slots that score calls leave to callers.
+#: Share of an upstream's slots that score calls leave to callers.
 _CALLERS_SHARE: Final = 0.25
-#: Sent although all upstreams are full or rest: it tells when that ends.
-_PROBES: Final = 1
-#: Pauses before a call is sent again after one that gave no score. The
-#: first is that of a tick: what broke one call, such as an upstream that is
-#: replaced, is mostly over for the next upstream.
-_PAUSES_S: Final = (0.1, 0.2, 0.4, 0.8)
+#: Score calls that are sent even if all upstreams are full or rest after a
+#: failure: their answers show when a service accepts calls again.
+_PROBE_CALLS: Final = 1
+#: Pauses before a score call is sent again, by the number of calls of the
+#: text that gave no score. The first equals the tick at which an owner checks
+#: its waiting items: what broke one call, such as the replacement of an
+#: upstream, usually does not affect the next upstream.
+_RETRY_PAUSES_S: Final = (0.1, 0.2, 0.4, 0.8)
 
 
 class ScoreEnd(enum.Enum):
-    """What became of a score call."""
+    """Outcome of a score call."""
 
     SCORED = 'scored'
-    #: No upstream gave an answer that counts.
+    #: No upstream gave a valid answer. The call is sent again.
     UNANSWERED = 'unanswered'
-    #: The service failed on it, as often as its route allows.
+    #: The service answered with a failure as often as its route allows.
     HOPELESS = 'hopeless'
 
 
 class Unscored(msgspec.Struct):
-    """A whole text that has no score yet."""
+    """Complete text that has no score yet."""
 
     spec: ItemSpec
     call: ScoreCall
     result: ItemResult
-    #: How often the service has answered that it failed.
+    #: How many times the service answered with a failure.
     failures: int = 0
-    #: Calls that gave no score since the last that was answered.
+    #: How many calls gave no score.
     tries: int = 0
+    #: Monotonic time from which the next call may be sent.
     ready_at: dt.timedelta = dt.timedelta()
+    #: Whether a call is in progress.
     running: bool = False
 
     def saved(self) -> SavedTranscript:
-        """Return what another owner needs to go on."""
+        """Return the stored form, from which another owner can continue."""
         return saved_text(self.result, self.failures)
 
 
 class ScoreQueue:
-    """The texts of one job that have no score yet."""
+    """Complete texts of one job that have no score yet."""
 
     def __init__(self) -> None:
-        self._waiting: dict[ItemId, Unscored] = {}
+        self._texts: dict[ItemId, Unscored] = {}
 
     def __len__(self) -> int:
         """Return how many texts have no score."""
-        return len(self._waiting)
+        return len(self._texts)
 
     def __iter__(self) -> Iterator[Unscored]:
-        """Return the texts that have no score."""
-        return iter(self._waiting.values())
+        """Return an iterator over the texts that have no score."""
+        return iter(self._texts.values())
 
     def add(
         self, spec: ItemSpec, result: ItemResult, failures: int = 0
     ) -> None:
-        """Take a text that is whole; a second one of an item is dropped."""
+        """Add a complete text; ignore it if its item is in the queue.
+
+        Parameters
+        ----------
+        spec
+            The item, which must have a score call.
+        result
+            The item's result without a score.
+        failures
+            How many times the service answered an earlier owner's call for
+            this text with a failure.
+        """
         assert spec.score_call is not None, spec.item
-        self._waiting.setdefault(
+        self._texts.setdefault(
             spec.item, Unscored(spec, spec.score_call, result, failures)
         )
 
     def drop(self, item: ItemId) -> None:
-        """Forget an item that has its result."""
-        self._waiting.pop(item, None)
+        """Remove an item that has its final result, if it is in the queue."""
+        self._texts.pop(item, None)
 
     def ready(
         self, open_in_group: Callable[[GroupId], int], now: dt.timedelta
     ) -> list[Unscored]:
-        """Return those whose call may be sent now, the first one first.
+        """Return the texts whose call may be sent now, in order of urgency.
 
         Parameters
         ----------
         open_in_group
-            How many items of a group have no result yet.
+            Returns how many items of a group have no result yet.
         now
             The monotonic time.
         """
         ready = [
             one
-            for one in self._waiting.values()
+            for one in self._texts.values()
             if not one.running and one.ready_at <= now
         ]
         return sorted(ready, key=lambda one: open_in_group(one.spec.group))
@@ -121,35 +136,49 @@
     def give_back(
         self, text: Unscored, failures: int, most: int, now: dt.timedelta
     ) -> ScoreEnd:
-        """Take a call that gave no score.
+        """Record that a call gave no score, and schedule the next one.
 
-        Failure: the service is away for seconds and each call fails in
-        milliseconds. Symptom: hundreds of calls a second that find nobody.
-        The pause between two calls of a text doubles.
+        Failure: the service is unavailable for seconds, and each call fails
+        within milliseconds. Symptom: hundreds of calls a second that reach no
+        upstream. The pause between two calls for a text therefore doubles,
+        from 0.1 up to 0.8 s.
 
         Parameters
         ----------
         text
-            The text that was to be scored.
+            The text without a score.
         failures
-            How many upstreams answered that they failed.
+            How many upstreams answered this call with a failure.
         most
-            How many such answers make it hopeless.
+            Number of failures of a text after which no call is sent again.
         now
             The monotonic time.
+
+        Returns
+        -------
+        ScoreEnd
+            ``HOPELESS`` if no call is sent again, otherwise ``UNANSWERED``.
         """
         text.running = False
         text.failures += failures
         if text.failures >= most:
             return ScoreEnd.HOPELESS
-        pause_s = _PAUSES_S[min(text.tries, len(_PAUSES_S) - 1)]
+        pause_s = _RETRY_PAUSES_S[min(text.tries, len(_RETRY_PAUSES_S) - 1)]
         text.tries += 1
         text.ready_at = now + dt.timedelta(seconds=pause_s)
         return ScoreEnd.UNANSWERED
 
 
 def saved_text(result: ItemResult, score_failures: int = 0) -> SavedTranscript:
-    """Return a whole text as it is kept for the next owner."""
+    """Return a complete text as it is stored for the next owner.
+
+    Parameters
+    ----------
+    result
+        The result of the item, with or without a score.
+    score_failures
+        How many times the score call was answered with a failure.
+    """
     texts = tuple(result.text.split('\n'))
     return SavedTranscript(
         texts,
@@ -162,7 +191,7 @@
 
 
 def restored_text(item: ItemId, saved: SavedTranscript) -> ItemResult:
-    """Return a whole text that an earlier owner kept."""
+    """Return the result of a complete text that an earlier owner stored."""
     text = '\n'.join(saved.texts)
     return ItemResult(
         item, ItemState.COMPLETED, text, saved.versions, saved.score
@@ -172,26 +201,30 @@
 def score_room(
     upstreams: Iterable[Upstream], loads: Loads, own: int, now: dt.timedelta
 ) -> int:
-    """Return how many more score calls a service takes now.
+    """Return how many more score calls may be sent to a service now.
+
+    The result is not positive if no call may be sent.
 
     Parameters
     ----------
     upstreams
-        Those of the service that take new work.
+        Upstreams of the service that accept new requests.
     loads
-        How full and how well they are.
+        Load and health of the upstreams.
     own
-        Score calls that this process has under way there.
+        Number of score calls of this process to the service in progress.
     now
         The monotonic time.
     """
-    capacity = sum(_capacity(one, loads, now) for one in upstreams)
-    return max(capacity, _PROBES) - own
+    slots = sum(_slots_for_scoring(one, loads, now) for one in upstreams)
+    return max(slots, _PROBE_CALLS) - own
 
 
-def _capacity(upstream: Upstream, loads: Loads, now: dt.timedelta) -> int:
+def _slots_for_scoring(
+    upstream: Upstream, loads: Loads, now: dt.timedelta
+) -> int:
     load = loads.of(upstream.upstream)
     if load.resting(now):
         return 0
-    kept = math.ceil(upstream.slots * _CALLERS_SHARE)
-    return max(upstream.slots - kept - load.others(now), 0)
+    for_callers = math.ceil(upstream.slots * _CALLERS_SHARE)
+    return max(upstream.slots - for_callers - load.others(now), 0)
--- a/bergamotdoor/jobs/transcript.py
+++ b/bergamotdoor/jobs/transcript.py
@@ -1,4 +1,4 @@
-"""What an item's runs have generated so far."""
+"""Events that the runs of one item have generated so far."""
 
 from __future__ import annotations
 
@@ -8,55 +8,59 @@
 
 from bergamotdoor.types import WeightVersion
 
-#: Engines number events from one, or from zero.
+#: Engines number the events of an item from one, or from zero.
 _FIRST_NUMBERS: Final = frozenset((0, 1))
 
 
 class GeneratedEvent(msgspec.Struct, frozen=True):
     """One event of an engine's stream.
 
-    ``version`` is set where the generating version changes with it.
+    ``version`` is set if the weight version that generates the text changes
+    with this event.
     """
 
     number: int
     text: str
     version: WeightVersion | None = None
-    #: Its bytes, with the empty line at the end.
+    #: Bytes of the event in the stream, including the empty line at its end.
     raw: bytes = b''
 
 
 class SavedTranscript(msgspec.Struct, frozen=True):
-    """A transcript as it is kept for the next owner."""
+    """Transcript as it is stored for the next owner of the job."""
 
+    #: Texts of the events, in order.
     texts: tuple[str, ...]
     versions: tuple[WeightVersion, ...]
+    #: Number of the last event.
     last_number: int
-    #: Whether the text is whole, and only its group is not.
+    #: Whether the text is complete, and only its score or its group is not.
     whole: bool = False
-    #: Of a whole text, where it is known already.
+    #: Score of a complete text; empty if it is not known.
     score: str = ''
-    #: How often its score call was answered with a failure.
+    #: How many times the score call of the text was answered with a failure.
     score_failures: int = 0
 
 
 class Transcript:
-    """Events of one item in order, over all runs that made them.
+    """Events of one item in order, from all of its runs.
 
-    A run that breaks is continued behind the last whole event, by any
-    engine. An event out of order would be missing or stand twice in the
-    text, so it ends the run.
+    If a run breaks, any engine can continue the item after the last complete
+    event. An event out of order would mean that the text lacks events or has
+    some twice, so it ends the run.
     """
 
     def __init__(self) -> None:
         self._texts: list[str] = []
         self._versions: set[WeightVersion] = set()
-        self._version = WeightVersion(0)
-        #: The number of the last whole event, None before the first.
+        #: The version that generates the next event.
+        self._current_version = WeightVersion(0)
+        #: Number of the last complete event; ``None`` if there is no event.
         self.last_number: int | None = None
 
     @classmethod
     def restored(cls, saved: SavedTranscript) -> Transcript:
-        """Go on with what an earlier owner kept."""
+        """Return the transcript that an earlier owner of the job stored."""
         transcript = cls()
         transcript._texts = list(saved.texts)
         transcript._versions = set(saved.versions)
@@ -64,7 +68,10 @@
         return transcript
 
     def saved(self) -> SavedTranscript:
-        """Return what there is; only of a transcript that has events."""
+        """Return this transcript in its stored form.
+
+        The transcript must have at least one event.
+        """
         assert self.last_number is not None
         return SavedTranscript(
             tuple(self._texts), self.versions, self.last_number
@@ -72,38 +79,49 @@
 
     @property
     def versions(self) -> tuple[WeightVersion, ...]:
-        """Every version that generated an event."""
+        """Every weight version that generated an event, in order."""
         return tuple(sorted(self._versions))
 
     @property
     def count(self) -> int:
-        """How many events there are."""
+        """Number of events."""
         return len(self._texts)
 
     @property
     def text(self) -> str:
-        """The texts of all events."""
+        """Texts of all events, joined by line breaks."""
         return '\n'.join(self._texts)
 
     def begin_run(self, version: WeightVersion) -> None:
-        """Take the version under which a run begins or goes on."""
-        self._version = version
+        """Set the weight version that generates at the start of a run."""
+        self._current_version = version
 
     def add(self, event: GeneratedEvent) -> bool:
-        """Take the next event; return False if it is out of order."""
+        """Add the next event; return ``False`` if it is out of order.
+
+        An event out of order is not added.
+        """
         last = self.last_number
         expected = _FIRST_NUMBERS if last is None else {last + 1}
         if event.number not in expected:
             return False
         if event.version is not None:
-            self._version = event.version
+            self._current_version = event.version
         self.last_number = event.number
         self._texts.append(event.text)
-        self._versions.add(self._version)
+        self._versions.add(self._current_version)
         return True
 
     def fits(self, oldest: WeightVersion, single: bool) -> bool:
-        """Return whether a job takes what was generated."""
+        """Return whether a job accepts the versions of this transcript.
+
+        Parameters
+        ----------
+        oldest
+            The oldest weight version that the job accepts.
+        single
+            Whether the job accepts only texts from a single version.
+        """
         if any(version < oldest for version in self._versions):
             return False
         return not single or len(self._versions) <= 1
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -183,8 +183,8 @@
     Mutation(
         'moves leave out engines that stand still',
         'jobs/progress.py',
-        'if name not in halted',
-        'if name is not halted',
+        'if name not in stalled_upstreams',
+        'if name is not stalled_upstreams',
         'jobs_progress',
     ),
     Mutation(
@@ -232,7 +232,10 @@
     Mutation(
         'pages are no larger than the link carries',
         'jobs/ledger.py',
-        'return min(max(carried, _SMALLEST_BYTES), LARGEST_PAGE_BYTES)',
+        (
+            'return min(max(carried_bytes, _SMALLEST_PAGE_BYTES), '
+            'LARGEST_PAGE_BYTES)'
+        ),
         'return LARGEST_PAGE_BYTES',
         'jobs_pages',
     ),
@@ -302,7 +305,7 @@
     Mutation(
         'score calls leave slots to callers',
         'jobs/scoring.py',
-        'return max(upstream.slots - kept - load.others(now), 0)',
+        'return max(upstream.slots - for_callers - load.others(now), 0)',
         'return upstream.slots * 10',
         _SCORING,
     ),
@@ -358,8 +361,8 @@
     Mutation(
         'the last groups of a step are listed together',
         'jobs/listing.py',
-        '_LAST_SHARE: Final = 0.25',
-        '_LAST_SHARE: Final = 0.0',
+        '_LAST_GROUPS_SHARE: Final = 0.25',
+        '_LAST_GROUPS_SHARE: Final = 0.0',
         'jobs_listing',
     ),
     Mutation(
