--- a/features/job_scenes.py
+++ b/features/job_scenes.py
@@ -1,4 +1,4 @@
-"""What scenarios of batch jobs on whole sites share."""
+"""Helpers for scenarios in which a whole site runs a batch job."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 if TYPE_CHECKING:
     from lab.site import Site
 
+#: Id of the job that these helpers refer to.
 JOB = 'j1'
-#: Its first group is listed soon, its second one runs for seconds.
+#: Lengths of the items by group, in events: the first group is listed soon,
+#: the second one runs for seconds.
 SHORT_AND_LONG: Final = ([2, 2], [200, 200])
 
 
 def parsed(text: str) -> list[list[int]]:
-    """Read groups of item lengths, as scenarios write them."""
+    """Parse item lengths by group, such as ``2,2 and 200,200``."""
     return [
         [int(length) for length in group.split(',')]
         for group in text.split(' and ')
@@ -24,7 +26,7 @@
 
 
 def lengths_of(groups: list[list[int]]) -> dict[str, int]:
-    """Return the length of each item of the job."""
+    """Return the length of each item of the job, in events, by item id."""
     return {
         f'{JOB}.{group}.{number}': length
         for group, members in enumerate(groups)
@@ -38,24 +40,36 @@
     least: int = 1,
     score_path: str = '',
 ) -> None:
-    """Hand the job in; it must be taken."""
+    """Submit the job and check that it is accepted.
+
+    Parameters
+    ----------
+    site
+        The site.
+    groups
+        Lengths of the items by group, in events.
+    least
+        The oldest weight version that the job accepts.
+    score_path
+        Path of the score calls; empty if the texts need no score.
+    """
     reply = await site.submit('entry-0', JOB, groups, least, score_path)
     assert reply is not None
     assert reply.status == 202, reply.status
 
 
 def owner_of(site: Site) -> str:
-    """Return the entry that the store names as the job's owner."""
+    """Return the name of the entry that owns the job in the store."""
     return str(site.store.table.specs('jobs')[JOB]['owner'])
 
 
 def other(site: Site, entry: str) -> str:
-    """Return an entry besides one."""
+    """Return the name of another entry than the given one."""
     return next(name for name in sorted(site.ports) if name != entry)
 
 
 def starts(site: Site, item: str) -> list[dict[str, str]]:
-    """Return the runs of an item, as the engines saw them."""
+    """Return the headers of each request for an item at the engines."""
     return [
         seen.headers
         for engine in site.engines.values()
@@ -65,7 +79,7 @@
 
 
 def at_work(site: Site) -> list[str]:
-    """Return the requests that engines work on."""
+    """Return the ids of the requests that engines are running."""
     return [
         request
         for engine in site.engines.values()
@@ -74,7 +88,7 @@
 
 
 async def taken_over_by(site: Site, entry: str) -> None:
-    """Do what an entry does when the owner does not answer."""
+    """Have an entry take the job over, as if the owner did not answer."""
     finder = site.entries[entry]._parts.finder
     record = await finder.record(JobId(JOB))
     assert not isinstance(record, Outcome)
@@ -83,19 +97,21 @@
 
 
 async def end_at(site: Site, entry: str) -> None:
-    """End the job; it must be confirmed."""
+    """End the job and check that the entry confirms it."""
     reply = await site.ask(entry, 'DELETE', f'/-/lots/{JOB}')
     assert reply is not None
     assert reply.status == 200, reply.status
 
 
 def whole(result: dict[str, Any], length: int) -> bool:
+    """Return whether a result has all events of its item, in order."""
     item = result['id']
     expected = [f'{item}/{number}' for number in range(1, length + 1)]
     return bool(result['text'].split('\n') == expected)
 
 
 async def listed_at_both(context: Any, site: Site) -> None:
+    """Read all results at each entry into ``context.listed``."""
     context.listed = [
         await site.all_results(entry, JOB) for entry in sorted(site.entries)
     ]
@@ -104,7 +120,17 @@
 def check_whole(
     results: list[dict[str, Any]], groups: list[list[int]], count: int
 ) -> None:
-    """Check that all items are listed, each once and whole."""
+    """Check that all items are listed, each once and with its whole text.
+
+    Parameters
+    ----------
+    results
+        The listed results.
+    groups
+        Lengths of the items by group, in events.
+    count
+        Expected number of results.
+    """
     lengths = lengths_of(groups)
     assert len(results) == count, results
     assert {result['id'] for result in results} == set(lengths)
--- a/features/steps/jobs_listing_steps.py
+++ b/features/steps/jobs_listing_steps.py
@@ -1,4 +1,4 @@
-"""Steps for bergamotdoor.jobs.listing, and a trainer that reads steps."""
+"""Steps for bergamotdoor.jobs.listing, and a trainer that reads results."""
 
 from __future__ import annotations
 
@@ -29,24 +29,29 @@
 from lab.site import Site, play
 from lab.wire import JobItem, job_body
 
-#: As the models of engines make events.
+#: Event interval of the engines of a site.
 EVENT_S = 0.04
-READ_S = 0.5
+#: Time between the starts of two reads of a trainer.
+READ_INTERVAL_S = 0.5
 
 
 def ms(value: float) -> dt.timedelta:
     return dt.timedelta(milliseconds=value)
 
 
-@given('results that are whole, and {missing:d} of 10 groups that is missing')
-@given('results that are whole, and {missing:d} of 10 groups that are missing')
-def whole_early(context: Any, missing: int) -> None:
+@given(
+    'results of complete groups, and {missing:d} of 10 groups that is missing'
+)
+@given(
+    'results of complete groups, and {missing:d} of 10 groups that are missing'
+)
+def results_before_target(context: Any, missing: int) -> None:
     context.target = Target(10, missing)
     context.due_in = ms(3000)
 
 
 @then('they wait, and are listed once they have waited for 1 s')
-def held(context: Any) -> None:
+def results_wait(context: Any) -> None:
     waits = [
         holds(context.target, ms(held_ms), context.due_in)
         for held_ms in (0, 999, 1000)
@@ -55,27 +60,29 @@
 
 
 @then('they are listed at once when the target is reached')
-def at_once_reached(context: Any) -> None:
+def listed_at_target(context: Any) -> None:
     assert not holds(Target(10, 0), ms(0), context.due_in)
 
 
 @then('they are listed at once')
-def at_once(context: Any) -> None:
+def listed_at_once(context: Any) -> None:
     assert not holds(context.target, ms(0), context.due_in)
 
 
 @then('they are listed at once if the step is due')
-def at_once_if_due(context: Any) -> None:
+def listed_at_once_if_due(context: Any) -> None:
     assert not holds(context.target, ms(0), ms(0))
 
 
-@given('a job of 4 groups with a target of 2, whose first one came again')
-def came_again(context: Any) -> None:
+@given('a job of 4 groups with a target of 2, whose first one was resubmitted')
+def first_resubmitted(context: Any) -> None:
     context.spec = job_of('new', ['g0', 'g1', 'g2', 'g3'], target=2)
     earlier = job_of('old', ['g0', 'g9'], target=1)
     others = job_of('other', ['g1'], target=1, model='another')
-    context.again = groups_again(context.spec, [context.spec, earlier, others])
-    assert context.again == {'g0'}, context.again
+    context.resubmitted = groups_again(
+        context.spec, [context.spec, earlier, others]
+    )
+    assert context.resubmitted == {'g0'}, context.resubmitted
 
 
 def job_of(
@@ -96,19 +103,19 @@
     )
 
 
-def reached(context: Any, *whole: str) -> bool:
-    """Return whether the target is reached with these groups whole."""
+def reached(context: Any, *complete: str) -> bool:
+    """Return whether the target is reached once groups are complete."""
     board = JobBoard(context.spec, Ledger())
-    for group in whole:
+    for group in complete:
         item = ItemId(f'i-{group}')
         board.finish(ItemResult(item, ItemState.COMPLETED))
     run: Any = SimpleNamespace(
         spec=context.spec, items=SimpleNamespace(board=board)
     )
-    return target_of(run, context.again).reached
+    return target_of(run, context.resubmitted).reached
 
 
-@then('its target is not reached with 3 others whole')
+@then('its target is not reached with the 3 others complete')
 def not_reached(context: Any) -> None:
     assert not reached(context, 'g1', 'g2', 'g3')
 
@@ -122,7 +129,7 @@
     'a site and {count:d} steps of 8 groups whose last two end {apart_s:f} s '
     'apart'
 )
-def pairs(context: Any, count: int, apart_s: float) -> None:
+def last_groups_apart(context: Any, count: int, apart_s: float) -> None:
     apart = round(apart_s / EVENT_S)
     context.lengths = [
         (5, 6, 7, 8, 9, 10, 30 + 3 * number, 30 + 3 * number + apart)
@@ -131,13 +138,19 @@
 
 
 async def read_to_end(site: Site, job: str, total: int) -> float:
-    """Read as a trainer does; return when it has the last result."""
+    """Read results as a trainer does, until it has all of them.
+
+    Returns
+    -------
+    float
+        Time at which the trainer has the last result, in seconds.
+    """
     loop = asyncio.get_running_loop()
     read = 0
     while True:
         began_s = loop.time()
         page = await site.results('entry-0', job, read)
-        left_s = began_s + READ_S - loop.time()
+        left_s = began_s + READ_INTERVAL_S - loop.time()
         await asyncio.sleep(max(left_s, 0))
         if isinstance(page, dict):
             read += len(page['results'])
@@ -146,7 +159,7 @@
 
 
 async def step_delay(site: Site, job: str, lengths: tuple[int, ...]) -> float:
-    """Return by how much a step ends later than its longest text."""
+    """Return how many seconds a step ends after its longest text."""
     items = [
         JobItem(f'{job}.{length}', length, f'{job}.{length}', hint=length)
         for length in lengths
@@ -162,7 +175,7 @@
 
 
 @when('a trainer reads each of them twice a second')
-def reads(context: Any) -> None:
+def read_steps(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         context.delays_s = [
@@ -179,9 +192,10 @@
     assert mean_s <= most_s, (mean_s, context.delays_s)
 
 
-@given('a site whose last groups take two records, and a reader that waits')
+@given("a site where a step's last groups take two records, and a reader")
 def two_records(context: Any) -> None:
-    # Each event of the models repeats the item's id.
+    # The engines repeat the item's id in each event, so a long id makes the
+    # results large.
     job = 'j' * 300
 
     async def scene(site: Site) -> None:
@@ -190,7 +204,7 @@
         reply = await site.submit('entry-0', job, lengths)
         assert reply is not None
         owner = site.store.table.specs('jobs')[job]['owner']
-        # The store takes as long for a record as a slow link does.
+        # The store takes as long for a record as it does over a slow link.
         site.store.answer_s = 0.1
         context.counts = []
         while sum(context.counts) < 12:
@@ -207,6 +221,6 @@
     play(scene)
 
 
-@then('its read shows all of them')
+@then('one read returns all of them')
 def one_read(context: Any) -> None:
     assert context.counts == [12], context.counts
--- a/features/steps/jobs_pages_steps.py
+++ b/features/steps/jobs_pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps for pages of bergamotdoor.jobs.ledger."""
+"""Steps for pages of results in bergamotdoor.jobs.ledger."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @given('{count:d} results of {size_kb:d} kB and a link of {mbps:d} Mbit/s')
-def results(context: Any, count: int, size_kb: int, mbps: int) -> None:
+def page_of_results(context: Any, count: int, size_kb: int, mbps: int) -> None:
     found = tuple(
         ItemResult(
             ItemId(str(number)), ItemState.COMPLETED, 'x' * 1000 * size_kb
@@ -28,19 +28,20 @@
 
 
 @then('one page holds them all')
-def all_there(context: Any) -> None:
+def all_in_one_page(context: Any) -> None:
     assert len(context.page) == context.count, len(context.page)
 
 
 @then('a page holds at most {most:d} bytes')
-def at_most(context: Any, most: int) -> None:
+def page_is_at_most(context: Any, most: int) -> None:
     size = sum(len(result.text) for result in context.page)
     assert 0 < size <= most, size
 
 
 @given('a site whose entries have links of 30 Mbit/s, and 500 kB of results')
 def slow_links(context: Any) -> None:
-    # Each event of the models repeats the item's id.
+    # The engines repeat the item's id in each event, so a long id makes the
+    # results large.
     job = 'j' * 300
 
     async def scene(site: Site) -> None:
@@ -57,8 +58,8 @@
     play(scene)
 
 
-@then('one read at their owner shows them all')
-def one_read(context: Any) -> None:
+@then("one read at the job's owner returns them all")
+def all_in_one_read(context: Any) -> None:
     texts = [result['text'] for result in context.page['results']]
     assert len(texts) == 12, len(texts)
     assert sum(map(len, texts)) > 500_000
--- a/features/steps/jobs_positions_steps.py
+++ b/features/steps/jobs_positions_steps.py
@@ -43,29 +43,38 @@
 
 GROUPS = 3
 MEMBERS = 3
-FATES = ('done', 'lost', 'refused', 'late')
+#: What happens to a call that stores a record: it succeeds, its answer is lost,
+#: it is rejected, or it takes effect late.
+APPEND_OUTCOMES = ('done', 'lost', 'refused', 'late')
 
 
-class Shelf:
-    """Keeps records by number, as the store does, with its faults."""
+class RecordStore:
+    """Result records by number, as in the store, with injected faults.
 
-    def __init__(self, fates: Iterator[str]) -> None:
+    Parameters
+    ----------
+    outcomes
+        What happens to each call that stores a record, see
+        ``APPEND_OUTCOMES``. Further calls succeed.
+    """
+
+    def __init__(self, outcomes: Iterator[str]) -> None:
         self.records: dict[int, ResultRecord] = {}
-        self.fates = fates
+        self.outcomes = outcomes
 
     async def append(
         self, _: JobId, number: int, record: ResultRecord
     ) -> ResultRecord | Outcome:
         await asyncio.sleep(0.004)
-        fate = next(self.fates, 'done')
-        if fate == 'refused':
+        outcome = next(self.outcomes, 'done')
+        if outcome == 'refused':
             return Outcome.NOT_DONE
-        if fate == 'late':
+        if outcome == 'late':
             loop = asyncio.get_running_loop()
             loop.call_later(0.7, self.records.setdefault, number, record)
             return Outcome.UNCLEAR
         found = self.records.setdefault(number, record)
-        return Outcome.UNCLEAR if fate == 'lost' else found
+        return Outcome.UNCLEAR if outcome == 'lost' else found
 
     def items(self) -> list[ItemId]:
         return [
@@ -76,9 +85,17 @@
 
 
 class Owner:
-    """A process that runs the job and lists its results."""
+    """Process that runs the job and lists its results.
+
+    Parameters
+    ----------
+    record_store
+        The store.
+    seed
+        Seed of the random numbers that tell the owner's records from others.
+    """
 
-    def __init__(self, shelf: Shelf, seed: int) -> None:
+    def __init__(self, record_store: RecordStore, seed: int) -> None:
         self.clock = virtual_clock()
         settings = SimpleNamespace(link_mbps=0)
         context: Any = SimpleNamespace(
@@ -88,13 +105,22 @@
         )
         record = JobRecord(NodeId('e'), at(1), 1, 1)
         found = FoundJob(JobId('j'), record, JobStatus(), Revision(1))
-        store: Any = shelf
+        store: Any = record_store
         loaded = LoadedJob(spec_of(), Ledger())
         due_at = dt.timedelta(seconds=9)
         self.run = JobRun(context, store, found, loaded, due_at)
         self.writer = ResultWriter(self.run, context)
 
     async def finish_all(self, order: list[int], pauses: list[int]) -> None:
+        """Finish all items that are not listed.
+
+        Parameters
+        ----------
+        order
+            Numbers of the items, in the order in which they finish.
+        pauses
+            Pause before each item finishes, in units of 20 ms.
+        """
         for number, pause in zip(order, pauses, strict=True):
             await asyncio.sleep(pause / 50)
             item = self.run.spec.items[number].item
@@ -141,25 +167,34 @@
         plans,
         plans,
         hypothesis.strategies.lists(
-            hypothesis.strategies.sampled_from(FATES), max_size=30
+            hypothesis.strategies.sampled_from(APPEND_OUTCOMES), max_size=30
         ),
     )
-    def check(first: Any, second: Any, fates: list[str]) -> None:
-        run_virtual(race(first, second, fates))
+    def check(first: Any, second: Any, outcomes: list[str]) -> None:
+        run_virtual(run_two_owners(first, second, outcomes))
 
     check()
 
 
-async def race(first: Any, second: Any, fates: list[str]) -> None:
-    shelf = Shelf(iter(fates))
-    owners = [Owner(shelf, 1), Owner(shelf, 2)]
+async def run_two_owners(first: Any, second: Any, outcomes: list[str]) -> None:
+    """Run the job at two owners and check the positions of its results.
+
+    Parameters
+    ----------
+    first, second
+        For each owner, the order and the pauses in which items finish.
+    outcomes
+        What happens to the calls that store records.
+    """
+    record_store = RecordStore(iter(outcomes))
+    owners = [Owner(record_store, 1), Owner(record_store, 2)]
     writers = [asyncio.create_task(owner.writer.run()) for owner in owners]
     await asyncio.gather(
         owners[0].finish_all(*first), owners[1].finish_all(*second)
     )
     async with asyncio.timeout(30):
         await asyncio.gather(*writers)
-    items = shelf.items()
+    items = record_store.items()
     assert len(items) == len(set(items)) == COUNT, items
     pages = [owner.run.ledger.page(0, 10**9) for owner in owners]
     assert pages[0] == pages[1], pages
@@ -168,19 +203,19 @@
 
 @then('both owners see the same results at the same positions')
 def same_positions(_: Any) -> None:
-    """Checked with each history above."""
+    """Do nothing; the step before checks this with each history."""
 
 
 @given('a job whose owner has finished an item that another process lists')
 def listed_elsewhere(context: Any) -> None:
-    context.shelf = Shelf(iter(()))
-    context.shelf.records[0] = ResultRecord('other', (result_of('0.0'),))
+    context.record_store = RecordStore(iter(()))
+    context.record_store.records[0] = ResultRecord('other', (result_of('0.0'),))
 
 
 @when("the rest of the item's group finishes at the owner")
 def rest_finishes(context: Any) -> None:
     async def scene() -> None:
-        owner = Owner(context.shelf, 1)
+        owner = Owner(context.record_store, 1)
         task = asyncio.create_task(owner.writer.run())
         for member in range(MEMBERS):
             owner.run.items.take_text(result_of(f'1.{member}'))
@@ -197,28 +232,28 @@
 
 @then('the item has one position in the store')
 def once_in_store(context: Any) -> None:
-    items = context.shelf.items()
+    items = context.record_store.items()
     assert items.count(ItemId('0.0')) == 1, items
     assert len(items) == 2 * MEMBERS, items
 
 
-class Refusing(Shelf):
-    """Takes records and refuses to show any."""
+class UnreadableStore(RecordStore):
+    """Store that accepts records and rejects reads."""
 
     async def record_at(self, *_: Any) -> Outcome:
         await asyncio.sleep(0.2)
         return Outcome.NOT_DONE
 
 
-@given('a job whose results are stored while the store refuses to be read')
-def stored_late(context: Any) -> None:
-    context.shelf = Refusing(iter(()))
+@given('a job whose results are stored while the store rejects reads')
+def unreadable_store(context: Any) -> None:
+    context.record_store = UnreadableStore(iter(()))
 
 
 @when('a reader has waited for a second')
-def waited(context: Any) -> None:
+def read_for_a_second(context: Any) -> None:
     async def scene() -> None:
-        owner = Owner(context.shelf, 1)
+        owner = Owner(context.record_store, 1)
         writer = asyncio.create_task(owner.writer.run())
         reader = asyncio.create_task(
             page_of(owner.run, 0, dt.timedelta(seconds=1), LARGEST_PAGE_BYTES)
@@ -233,7 +268,7 @@
     run_virtual(scene())
 
 
-@then('it is shown the results that were stored')
-def shown(context: Any) -> None:
+@then('it receives the results that were stored')
+def results_received(context: Any) -> None:
     assert not isinstance(context.page, Outcome), context.page
     assert len(context.page.results) == MEMBERS, context.page
--- a/features/steps/jobs_progress_steps.py
+++ b/features/steps/jobs_progress_steps.py
@@ -37,7 +37,7 @@
 from lab.wire import JobItem, job_body
 
 WHERE = UpstreamId('e0')
-#: Of an engine that is half as slow again as the models usually are.
+#: Event interval of a slow engine; engines of a site usually take 0.04 s.
 SLOW_EVENT_S = 0.06
 
 
@@ -46,6 +46,7 @@
 
 
 def board_of(lengths: list[int]) -> JobBoard:
+    """Return the queue of a job with items of these expected lengths."""
     items = tuple(
         ItemSpec(
             ItemId(str(number)),
@@ -63,7 +64,8 @@
     return board
 
 
-def take(board: JobBoard, now: dt.timedelta) -> ItemId | None:
+def start_next(board: JobBoard, now: dt.timedelta) -> ItemId | None:
+    """Start the next item and return it; ``None`` if none is ready."""
     slot = board.ready(now)
     if slot is None:
         return None
@@ -71,8 +73,8 @@
     return slot.spec.item
 
 
-@given('a board of 100 items with lengths of a heavy tail')
-def heavy_tail(context: Any) -> None:
+@given('a queue of 100 items with heavy-tailed lengths')
+def heavy_tailed(context: Any) -> None:
     context.lengths = [
         4000 if number % 20 == 7 else 500 for number in range(100)
     ]
@@ -81,37 +83,37 @@
 
 @then("its longest items start first, the others in the job's order")
 def longest_first(context: Any) -> None:
-    order = [int(take(context.board, ms(0)) or -1) for _ in range(100)]
+    order = [int(start_next(context.board, ms(0)) or -1) for _ in range(100)]
     long = [number for number in range(100) if number % 20 == 7]
     assert order[: len(long)] == long, order
     assert order[len(long) :] == sorted(order[len(long) :]), order
 
 
-@given('a board of 10 items of which the first was refused')
+@given('a queue of 10 items of which the first was refused')
 def first_refused(context: Any) -> None:
     context.board = board_of(list(range(10)))
     for _ in range(3):
-        take(context.board, ms(0))
+        start_next(context.board, ms(0))
     context.board.give_back(ItemId('0'), RunEnd.REFUSED, WHERE, ms(1))
 
 
 @then('the first item is the next one')
 def first_next(context: Any) -> None:
-    assert take(context.board, ms(1)) == '0'
+    assert start_next(context.board, ms(1)) == '0'
 
 
-@given('a board of 10 items of which the first fails at each run')
+@given('a queue of 10 items of which the first fails at each run')
 def first_fails(context: Any) -> None:
     context.board = board_of([1])
 
 
 @then('its runs begin after 0, 100 and 300 ms, and it is lost after 3')
-def paced(context: Any) -> None:
+def retries_paced(context: Any) -> None:
     board = context.board
     begun = []
     now = 0
     while board.open_items and now < 2000:
-        if take(board, ms(now)) is not None:
+        if start_next(board, ms(now)) is not None:
             begun.append(now)
             board.give_back(ItemId('0'), RunEnd.FAILED, WHERE, ms(now))
         now += 10
@@ -120,13 +122,14 @@
 
 
 @given('engines with 1 of 4 and 0 of 4 slots taken')
-def taken(context: Any) -> None:
+def partly_taken(context: Any) -> None:
     context.engines = upstreams(2)
     context.loads = Loads()
     context.loads.of(WHERE).in_flight = 1
 
 
-def placed(context: Any, home: str | None) -> str:
+def engine_for(context: Any, home: str | None) -> str:
+    """Return the engine of an item whose group has its prompt at ``home``."""
     found = place_item(
         context.engines,
         context.loads,
@@ -139,24 +142,24 @@
     return found.upstream
 
 
-@then('an item of a group at home in the first goes there')
-def at_home(context: Any) -> None:
-    assert placed(context, 'e0') == 'e0'
+@then('an item of a group with its prompt cached at the first goes there')
+def at_cached_prompt(context: Any) -> None:
+    assert engine_for(context, 'e0') == 'e0'
 
 
 @then('an item of another group goes to the second')
-def emptier(context: Any) -> None:
-    assert placed(context, None) == 'e1'
+def at_less_loaded(context: Any) -> None:
+    assert engine_for(context, None) == 'e1'
 
 
 @then("with 2 of 4 taken in the first the group's item goes to the second")
-def fuller(context: Any) -> None:
+def first_half_full(context: Any) -> None:
     context.loads.of(WHERE).in_flight = 2
-    assert placed(context, 'e0') == 'e1'
+    assert engine_for(context, 'e0') == 'e1'
 
 
 @given('a number of {count:d} empty engines of {slots:d} slots')
-def empty(context: Any, count: int, slots: int) -> None:
+def empty_engines(context: Any, count: int, slots: int) -> None:
     context.engines = [
         msgspec.structs.replace(one, slots=slots) for one in upstreams(count)
     ]
@@ -164,16 +167,16 @@
 
 
 @when('a step of {groups:d} groups of {size:d} items is placed')
-def burst(context: Any, groups: int, size: int) -> None:
+def place_step(context: Any, groups: int, size: int) -> None:
     homes: dict[int, str] = {}
     for number in range(groups * size):
         group = number // size
-        homes[group] = placed(context, homes.get(group))
+        homes[group] = engine_for(context, homes.get(group))
         context.loads.of(UpstreamId(homes[group])).in_flight += 1
 
 
 @then('no engine has more than {most:d} items more than another')
-def even(context: Any, most: int) -> None:
+def evenly_placed(context: Any, most: int) -> None:
     counts = [
         context.loads.of(one.upstream).in_flight for one in context.engines
     ]
@@ -181,14 +184,27 @@
 
 
 @then("with the first one full the group's item goes to the second")
-def full(context: Any) -> None:
+def first_full(context: Any) -> None:
     context.loads.of(WHERE).in_flight = 4
-    assert placed(context, 'e0') == 'e1'
+    assert engine_for(context, 'e0') == 'e1'
 
 
-def progress(
+def progress_at(
     upstream: str, events: int, expected: float, last_ms: float
 ) -> Progress:
+    """Return the progress of an item with events at equal intervals.
+
+    Parameters
+    ----------
+    upstream
+        The engine.
+    events
+        Number of events so far.
+    expected
+        Expected number of events.
+    last_ms
+        Time of the last event after the start of the run, in ms.
+    """
     one = Progress(
         ItemId(f'{upstream}-{expected}'), UpstreamId(upstream), ms(0), expected
     )
@@ -197,8 +213,14 @@
     return one
 
 
-def streamed(gaps_ms: list[int]) -> Progress:
-    """An item at the first engine with these pauses before its events."""
+def progress_with_gaps(gaps_ms: list[int]) -> Progress:
+    """Return the progress of an item at the first engine.
+
+    Parameters
+    ----------
+    gaps_ms
+        Time before each event, in ms.
+    """
     one = Progress(ItemId('i'), WHERE, ms(0), expected_events=200)
     at_ms = 0
     for number, gap_ms in enumerate(gaps_ms, start=1):
@@ -207,48 +229,50 @@
     return one
 
 
-def learned(context: Any, gaps_ms: list[int]) -> None:
+def learn_gaps(context: Any, gaps_ms: list[int]) -> None:
+    """Measure the first engine at four items with these gaps."""
     context.speeds = Speeds()
     for _ in range(4):
-        context.item = streamed(gaps_ms)
+        context.item = progress_with_gaps(gaps_ms)
         context.speeds.learn(context.item)
     context.now = ms(sum(gaps_ms) + 10)
 
 
 @given('an engine whose items waited 700 ms for their first event')
-def waited(context: Any) -> None:
-    learned(context, [700, *(40 for _ in range(6))])
+def first_event_late(context: Any) -> None:
+    learn_gaps(context, [700, *(40 for _ in range(6))])
 
 
-@given('an engine whose items stood still for 950 ms between events')
-def stood_still(context: Any) -> None:
-    learned(context, [40, 40, 40, 990, *(40 for _ in range(6))])
+@given('an engine whose items paused for 950 ms between events')
+def paused(context: Any) -> None:
+    learn_gaps(context, [40, 40, 40, 990, *(40 for _ in range(6))])
 
 
 @given('an engine that takes 140 ms an event after 40 ms')
 def turned_slow(context: Any) -> None:
-    learned(context, [*(40 for _ in range(6)), *(140 for _ in range(6))])
-    context.speeds.learn(progress('e1', 30, 60, 30 * 40))
+    learn_gaps(context, [*(40 for _ in range(6)), *(140 for _ in range(6))])
+    context.speeds.learn(progress_at('e1', 30, 60, 30 * 40))
 
 
 @given('an engine that takes 50 ms an event, and one that was not measured')
 def not_measured(context: Any) -> None:
-    learned(context, [50 for _ in range(12)])
+    learn_gaps(context, [50 for _ in range(12)])
 
 
 @given('engines that take 51 and 48 ms an event')
-def alike(context: Any) -> None:
-    learned(context, [51 for _ in range(12)])
-    context.speeds.learn(progress('e1', 30, 60, 30 * 48))
+def similar_engines(context: Any) -> None:
+    learn_gaps(context, [51 for _ in range(12)])
+    context.speeds.learn(progress_at('e1', 30, 60, 30 * 48))
 
 
-@then('its pace is {pace_ms:d} ms an event')
-def pace_is(context: Any, pace_ms: int) -> None:
+@then('its event interval is {interval_ms:d} ms')
+def interval_is(context: Any, interval_ms: int) -> None:
     found_s = context.speeds.interval_s(WHERE)
-    assert abs(found_s * 1000 - pace_ms) < 1, found_s
+    assert abs(found_s * 1000 - interval_ms) < 1, found_s
 
 
-def leaving(context: Any) -> list[str]:
+def items_leaving(context: Any) -> list[str]:
+    """Return the items that leave the first engine for the second."""
     room = {UpstreamId('e1'): 1}
     found = moves([context.item], room, context.speeds, context.now)
     return [move.item for move in found]
@@ -256,22 +280,23 @@
 
 @then('no item leaves it for another engine')
 def none_leaves(context: Any) -> None:
-    assert not leaving(context)
+    assert not items_leaving(context)
 
 
 @then('an item with 100 events to go leaves it for another engine')
 def one_leaves(context: Any) -> None:
-    assert leaving(context) == ['i']
+    assert items_leaving(context) == ['i']
 
 
 @given('items at an engine of 40 ms and one of 100 ms an event')
 def two_speeds(context: Any) -> None:
     context.speeds = Speeds()
-    context.speeds.learn(progress('e0', 50, 60, 2000))
-    context.speeds.learn(progress('e1', 20, 60, 2000))
+    context.speeds.learn(progress_at('e0', 50, 60, 2000))
+    context.speeds.learn(progress_at('e1', 20, 60, 2000))
 
 
-def moved(context: Any, one: Progress, now_ms: float) -> list[str]:
+def items_moving(context: Any, one: Progress, now_ms: float) -> list[str]:
+    """Return the item if it moves while both engines have a free slot."""
     room = {UpstreamId('e0'): 1, UpstreamId('e1'): 1}
     found = moves([one], room, context.speeds, ms(now_ms))
     return [move.item for move in found]
@@ -279,25 +304,25 @@
 
 @then('an item with 100 events to go moves from the slow to the fast one')
 def moves_over(context: Any) -> None:
-    assert moved(context, progress('e1', 20, 120, 1990), 2000)
-    assert not moved(context, progress('e0', 20, 120, 1990), 2000)
+    assert items_moving(context, progress_at('e1', 20, 120, 1990), 2000)
+    assert not items_moving(context, progress_at('e0', 20, 120, 1990), 2000)
 
 
 @then('an item with 3 events to go stays')
-def stays(context: Any) -> None:
-    assert not moved(context, progress('e1', 2, 5, 1990), 2000)
+def short_item_stays(context: Any) -> None:
+    assert not items_moving(context, progress_at('e1', 2, 5, 1990), 2000)
 
 
 @then('no item moves within half a second of its start')
-def young(context: Any) -> None:
-    assert not moved(context, progress('e1', 20, 120, 390), 400)
+def no_move_after_start(context: Any) -> None:
+    assert not items_moving(context, progress_at('e1', 20, 120, 390), 400)
 
 
-@given('items at two engines that show no events for 400 ms')
-def standing(context: Any) -> None:
+@given('items at two engines that send no events for 400 ms')
+def stalled_engines(context: Any) -> None:
     context.progresses = [
-        progress('e0', 20, 60, 1000),
-        progress('e1', 20, 60, 1000),
+        progress_at('e0', 20, 60, 1000),
+        progress_at('e1', 20, 60, 1000),
     ]
 
 
@@ -308,13 +333,14 @@
 
 
 @then('with a third engine that has room both move there')
-def third(context: Any) -> None:
+def both_move_to_third(context: Any) -> None:
     room = {UpstreamId('e0'): 2, UpstreamId('e2'): 2}
     found = list(moves(context.progresses, room, Speeds(), ms(1400)))
     assert [move.stalled for move in found] == [True, True], found
 
 
-def transcript(*versions: int) -> Transcript:
+def transcript_of(*versions: int) -> Transcript:
+    """Return a transcript with one event of each of these versions."""
     found = Transcript()
     for number, version in enumerate(versions, start=1):
         event = GeneratedEvent(number, 'x', WeightVersion(version))
@@ -322,16 +348,16 @@
     return found
 
 
-@then('a text with a version below the least does not fit')
+@then('a text with a version below the minimum is not accepted')
 def too_old(_: Any) -> None:
-    assert not transcript(1, 2).fits(WeightVersion(2), single=False)
-    assert transcript(2, 3).fits(WeightVersion(2), single=False)
+    assert not transcript_of(1, 2).fits(WeightVersion(2), single=False)
+    assert transcript_of(2, 3).fits(WeightVersion(2), single=False)
 
 
-@then('a text of two versions does not fit a job of one')
-def single(_: Any) -> None:
-    assert not transcript(2, 3).fits(WeightVersion(2), single=True)
-    assert transcript(3, 3).fits(WeightVersion(2), single=True)
+@then('a text of two versions is not accepted by a job that wants one')
+def single_version(_: Any) -> None:
+    assert not transcript_of(2, 3).fits(WeightVersion(2), single=True)
+    assert transcript_of(3, 3).fits(WeightVersion(2), single=True)
 
 
 @given('an upstream that refused a request')
@@ -341,7 +367,7 @@
     context.load.refused(ms(0))
 
 
-@then('it rests for 300 ms, takes one request, and others once that one runs')
+@then('it gets no request for 300 ms, then one, and more once that one runs')
 def probed(context: Any) -> None:
     load: UpstreamLoad = context.load
     engine = upstreams(1)[0]
@@ -418,8 +444,8 @@
         assert second.at_s - left_s < SLOW_EVENT_S + 0.05, (first, second)
 
 
-@given('an engine with 1 free slot, kept for an item that moves')
-def kept_slot(context: Any) -> None:
+@given('an engine with 1 free slot, reserved for an item that moves')
+def reserved_slot(context: Any) -> None:
     context.engines = upstreams(1)
     context.loads = Loads()
     load = context.loads.of(WHERE)
@@ -428,8 +454,8 @@
     context.reservations.keep(ItemId('i'), WHERE, ms(0))
 
 
-@then('nothing else is placed there for 200 ms, and then it is')
-def given_up(context: Any) -> None:
+@then('no other item is placed there for 200 ms, and then one is')
+def reservation_expires(context: Any) -> None:
     engine = context.engines[0]
     context.reservations.expire(ms(199))
     assert free_slots(engine, context.loads, ms(199)) == 0
