--- a/bergamotdoor/jobs/board.py
+++ b/bergamotdoor/jobs/board.py
@@ -142,18 +142,18 @@
         return None
 
     def start(self, slot: Slot) -> None:
-        """Remove the item that ``ready`` returned and count its run."""
+        """Remove the first item from the queue and count its run."""
         first = heapq.heappop(self._waiting)
         assert first[1] == slot.spec.item, first
         slot.running += 1
 
     def defer(self, slot: Slot, until: dt.timedelta) -> None:
-        """Keep the item that ``ready`` returned from starting for a while.
+        """Keep the first item of the queue from starting for a while.
 
         Parameters
         ----------
         slot
-            The item.
+            The first item.
         until
             The monotonic time from which the item may start.
         """
--- a/bergamotdoor/jobs/progress.py
+++ b/bergamotdoor/jobs/progress.py
@@ -98,7 +98,8 @@
         self._sampled_events = first_event
         #: Monotonic time at which the current sample began.
         self._sampled_at: dt.timedelta | None = None
-        #: Measured event intervals that ``take_paces`` has not returned yet.
+        #: Measured event intervals that the engine's speed does not include
+        #: yet.
         self._new_intervals_s: list[float] = []
 
     def advance(self, events: int, now: dt.timedelta) -> None:
