--- a/bergamotdoor/jobs/__init__.py
+++ b/bergamotdoor/jobs/__init__.py
@@ -2,6 +2,10 @@
 
 They cover the order in which items run, the engine of each item, moves
 between engines, score calls, and the positions and listing of results.
+
+A job contains the items of one step of a trainer. The items of a group share
+their prompt, and a group is complete once each of its items has a result. A
+result is listed once it is stored under its position, where readers find it.
 """
 
 from __future__ import annotations
--- a/bergamotdoor/jobs/board.py
+++ b/bergamotdoor/jobs/board.py
@@ -74,7 +74,7 @@
     order: int
     #: How many runs of the item are in progress.
     running: int = 0
-    #: Whether the text is complete and the item waits for its score.
+    #: Whether the text is complete; it may still wait for its score.
     generated: bool = False
     #: How many runs the engines answered with a failure.
     failures: int = 0
@@ -123,8 +123,8 @@
         """Whether results of complete groups wait to be stored.
 
         Results of an incomplete group are not stored. A trainer cannot use
-        them, and returning them would end a read that could have returned a
-        complete group half a second sooner.
+        them, and a read that returned them would end before the next group
+        is complete, so the trainer would get that group half a second later.
         """
         return bool(self._finished)
 
--- a/features/jobs_progress.feature
+++ b/features/jobs_progress.feature
@@ -17,7 +17,7 @@
     short fault would use up all attempts.
 
     Given a queue of 10 items of which the first fails at each run
-    Then its runs begin after 0, 100 and 300 ms, and it is lost after 3
+    Then its runs begin after pauses of 0, 100 and 300 ms, and it is lost after 3
 
   Scenario: a group runs where its prompt is cached, as long as there is room
     Given engines with 1 of 4 and 0 of 4 slots taken
--- a/features/steps/jobs_progress_steps.py
+++ b/features/steps/jobs_progress_steps.py
@@ -107,7 +107,9 @@
     context.board = board_of([1])
 
 
-@then('its runs begin after 0, 100 and 300 ms, and it is lost after 3')
+@then(
+    'its runs begin after pauses of 0, 100 and 300 ms, and it is lost after 3'
+)
 def retries_paced(context: Any) -> None:
     board = context.board
     begun = []
