--- a/bergamotdoor/steps/__init__.py
+++ b/bergamotdoor/steps/__init__.py
@@ -1,3 +1,3 @@
-"""Tasks that own trainers' steps: items, results, takeover, readers."""
+"""Tasks of the process that owns batch jobs: items, results, takeovers."""
 
 from __future__ import annotations
--- a/bergamotdoor/steps/dispatcher.py
+++ b/bergamotdoor/steps/dispatcher.py
@@ -1,4 +1,4 @@
-"""Starts the items of batch jobs at engines, and moves them between."""
+"""Starts the items of batch jobs at engines and moves running items."""
 
 from __future__ import annotations
 
@@ -34,40 +34,42 @@
     from bergamotdoor.steps.job_run import JobRun
     from bergamotdoor.types import UpstreamId
 
-#: A guess until the first stream of a kind was seen.
+#: Assumed number of tokens in one event of an engine's stream. It converts the
+#: token counts of an item's length hint to events.
 TOKENS_PER_EVENT: Final = 58
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class Dispatcher:
-    """Carries out where items run.
+    """Starts and moves the items of the jobs that this process owns.
 
     Parameters
     ----------
     context
         Services of the process.
     poke
-        Called when an item ended: there is room, or an item waits again.
+        Callback without arguments. It is called after the run of an item has
+        ended, when a slot is free or the item waits to run again.
     """
 
     def __init__(self, context: Context, poke: Callable[[], None]) -> None:
         self._context = context
-        self._poke = poke
+        self._on_item_end = poke
         self._reservations = Reservations(context.loads)
         self._suspects = ItemSuspects(context)
 
     def start_items(self, run: JobRun, route: Route) -> None:
-        """Start as many items as the engines have room for."""
+        """Start waiting items of a job while engines have free slots."""
         now = self._context.clock.elapsed()
-        upstreams = self._engines(run, route)
+        upstreams = self._eligible_engines(run, route)
         slot = run.items.board.ready(now)
         while slot is not None:
-            held = self._suspects.held(run.spec, slot.spec, upstreams, now)
-            if held:
-                run.items.board.defer(slot, now + held)
+            wait = self._suspects.held(run.spec, slot.spec, upstreams, now)
+            if wait:
+                run.items.board.defer(slot, now + wait)
             else:
-                upstream = self._place(run, slot, upstreams, now)
+                upstream = self._choose_engine(run, slot, upstreams, now)
                 if upstream is None:
                     return
                 run.items.board.start(slot)
@@ -75,10 +77,15 @@
             slot = run.items.board.ready(now)
 
     def move_items(self, run: JobRun, route: Route) -> None:
-        """Stop items that should go on at another engine."""
+        """Cancel the runs of items that should continue at another engine.
+
+        Each of them starts again at the engine where a slot is reserved for
+        it.
+        """
         now = self._context.clock.elapsed()
         self._reservations.expire(now)
-        # One that was told to leave is here until its connection is closed.
+        # A cancelled run stays in `running` until its connection is closed.
+        # It must not be moved a second time.
         progresses = [
             item.progress
             for item in run.running.values()
@@ -87,15 +94,17 @@
         for progress in progresses:
             self._context.speeds.learn(progress)
         room: dict[UpstreamId, int] = {}
-        for upstream in self._engines(run, route):
+        for upstream in self._eligible_engines(run, route):
             free = free_slots(upstream, self._context.loads, now)
             if free > 0:
                 room[upstream.upstream] = free
         for move in moves(progresses, room, self._context.speeds, now):
-            self._move(run, move)
+            self._move_item(run, move)
 
-    def _engines(self, run: JobRun, route: Route) -> tuple[Upstream, ...]:
-        """Return the engines whose weights the job takes."""
+    def _eligible_engines(
+        self, run: JobRun, route: Route
+    ) -> tuple[Upstream, ...]:
+        """Return the engines with weights that are new enough for a job."""
         fleet = self._context.fleet
         return tuple(
             upstream
@@ -104,21 +113,27 @@
             >= run.spec.min_version
         )
 
-    def _place(
+    def _choose_engine(
         self,
         run: JobRun,
         slot: Slot,
         upstreams: tuple[Upstream, ...],
         now: dt.timedelta,
     ) -> Upstream | None:
+        """Return the engine that should run an item; ``None`` if all are full.
+
+        A reserved slot has priority.
+        """
         if self._suspects.runs_apart(run.spec, slot.spec):
             upstreams = self._suspects.without_others(upstreams)
         group = slot.spec.group
-        kept = self._reservations.take(slot.spec.item)
-        found = next((one for one in upstreams if one.upstream == kept), None)
-        if found and free_slots(found, self._context.loads, now) > 0:
-            return found
-        found = place_item(
+        reserved = self._reservations.take(slot.spec.item)
+        chosen = next(
+            (one for one in upstreams if one.upstream == reserved), None
+        )
+        if chosen and free_slots(chosen, self._context.loads, now) > 0:
+            return chosen
+        chosen = place_item(
             upstreams,
             self._context.loads,
             self._context.speeds,
@@ -126,9 +141,9 @@
             slot.avoid,
             now,
         )
-        if found is not None:
-            run.items.board.homes[group] = found.upstream
-        return found
+        if chosen is not None:
+            run.items.board.homes[group] = chosen.upstream
+        return chosen
 
     def _start_item(
         self, run: JobRun, route: Route, slot: Slot, upstream: Upstream
@@ -146,13 +161,15 @@
         item = ItemRun(
             run.spec, slot.spec, route, upstream, transcript, progress
         )
-        # Counted before the task begins, so that the next choice sees it.
+        # Counted before the task starts, so that the next choice of an engine
+        # includes this run.
         self._suspects.enter(run.spec, slot.spec, upstream.upstream)
         load = self._context.loads.of(upstream.upstream)
         load.placed(now)
         task = start_counted(load, self._run_item(run, slot, item))
-        # Behind the callback that counts the slot as free.
-        task.add_done_callback(lambda _: self._poke())
+        # Added after the callback that counts the slot as free, so it runs
+        # after that one.
+        task.add_done_callback(lambda _: self._on_item_end())
         run.running[slot.spec.item] = RunningItem(progress, task)
 
     async def _run_item(self, run: JobRun, slot: Slot, item: ItemRun) -> None:
@@ -164,19 +181,19 @@
                 raise
             end = RunEnd.MOVED
         finally:
-            self._leave(run, item)
+            self._remove_run(run, item)
         if isinstance(end, ItemResult):
             run.items.take_text(end)
         else:
             now = self._context.clock.elapsed()
             run.items.give_back(slot, end, upstream, now)
 
-    def _leave(self, run: JobRun, item: ItemRun) -> None:
+    def _remove_run(self, run: JobRun, item: ItemRun) -> None:
         run.running.pop(item.spec.item, None)
         self._suspects.leave(item.spec.item)
         self._context.speeds.learn(item.progress)
 
-    def _move(self, run: JobRun, move: Move) -> None:
+    def _move_item(self, run: JobRun, move: Move) -> None:
         item = run.running[move.item]
         now = self._context.clock.elapsed()
         self._reservations.keep(move.item, move.goal, now)
--- a/bergamotdoor/steps/hand_over.py
+++ b/bergamotdoor/steps/hand_over.py
@@ -1,12 +1,13 @@
-"""A step on its way from an owner that stops to the next one.
-
-Failure: a planned stop of the owner in the middle of a step. Symptom: nobody
-runs the step until the next owner has all of it, and a trainer whose step is
-due in seconds misses it. By way of the store that took 1.9 s on busy links:
-the stopping owner kept what the items had, and the next one asked for the
-record, claimed it and loaded the step. So the stopping owner sends the step
-as it has it; the next one only claims the record. The items are kept in the
-store beside that, for the case that nobody takes the step.
+"""Handoff of jobs from an owner that stops to another entry.
+
+Failure: the owner of a job is stopped as planned in the middle of a training
+step. Symptom: no process runs the job until the next owner has loaded it, and
+a trainer with a step deadline of a few seconds misses it. A handoff through
+the store took 1.9 s on busy links: the stopping owner saved the partial
+transcripts of the items, then the next owner read the job's record, claimed
+it and loaded the job. So the stopping owner sends the whole state of the job
+in one message, and the next owner only claims the record. The partial
+transcripts are also saved in the store, in case no entry accepts the job.
 """
 
 from __future__ import annotations
@@ -29,29 +30,30 @@
     from bergamotdoor.steps.other_entries import OtherEntries
     from bergamotdoor.steps.owner import JobOwner
 
-#: How long a step is held while others are asked to run it. Failure: neither
-#: the store nor other entries answer. Symptom: readers find an owner that
-#: lives, so nobody takes the step over, and its items are at no engine for
-#: 3 to 6 s. Other entries answer within a second or not at all.
-_HOLD_S: Final = 1
-_MS: Final = dt.timedelta(milliseconds=1)
+#: How long a stopping owner serves the readers of a job during its handoff,
+#: before it drops the job. Failure: neither the store nor other entries
+#: answer. Symptom: readers reach an owner that is alive, so no entry takes the
+#: job over, and its items run at no engine for 3 to 6 s. Other entries answer
+#: within a second or not at all.
+_SERVE_DURING_HANDOFF_S: Final = 1
+_MILLISECOND: Final = dt.timedelta(milliseconds=1)
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class HandOver:
-    """Hands the steps of a process that stops on to others.
+    """Hands off the jobs of a stopping process to other entries.
 
     Parameters
     ----------
     owner
-        Runs them until then.
+        The running jobs of this process.
     others
-        The entries that are asked to go on.
+        Client that offers a job to other entries.
     store
-        Keeps what the items have.
+        Store in which the partial transcripts of the items are saved.
     clock
-        Tells how long that takes.
+        Clock for the duration in the log.
     """
 
     def __init__(
@@ -67,36 +69,38 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Stop all items; return once others run them or none will.
+        """Stop all items and hand off their jobs.
 
-        Readers are served from the stopped steps meanwhile.
+        Return once other entries have accepted the jobs or all offers have
+        failed. Until then, but no longer than a second, readers are served
+        from the stopped jobs.
         """
         runs = self._owner.take_no_more()
-        await asyncio.gather(*(self._hand_over(run) for run in runs))
+        await asyncio.gather(*(self._hand_off(run) for run in runs))
 
-    async def _hand_over(self, run: JobRun) -> None:
-        message = _handed(run)
+    async def _hand_off(self, run: JobRun) -> None:
+        message = _takeover_message(run)
         run.stop()
-        handing = asyncio.gather(
-            self._others.hand_on(message), self._keep(message)
+        handoff = asyncio.gather(
+            self._others.hand_on(message), self._save_items(message)
         )
-        await asyncio.wait((handing,), timeout=_HOLD_S)
+        await asyncio.wait((handoff,), timeout=_SERVE_DURING_HANDOFF_S)
         self._owner.forget(run.spec.job)
-        await handing
+        await handoff
 
-    async def _keep(self, message: TakeOver) -> None:
-        began = self._clock.elapsed()
+    async def _save_items(self, message: TakeOver) -> None:
+        started_at = self._clock.elapsed()
         job = message.spec.job
         await self._store.keep_partial(job, message.partial)
         _log.info(
             'gateway: job %s: %d items kept for the next owner after %d ms',
             job,
             len(message.partial),
-            (self._clock.elapsed() - began) // _MS,
+            (self._clock.elapsed() - started_at) // _MILLISECOND,
         )
 
 
-def _handed(run: JobRun) -> TakeOver:
+def _takeover_message(run: JobRun) -> TakeOver:
     return TakeOver(
         record=run.found.record,
         revision=run.found.revision,
@@ -108,13 +112,13 @@
 
 
 def found_in(message: TakeOver | AdoptJob) -> FoundJob:
-    """Return the record of a step that is handed on."""
+    """Return the job's record that a message carries."""
     return FoundJob(
         message.spec.job, message.record, JobStatus(), message.revision
     )
 
 
 def loaded_in(message: TakeOver) -> LoadedJob:
-    """Return what the stopping owner has of a step."""
+    """Return the job's body, results and partial transcripts of a message."""
     ledger = Ledger.restored(message.results, message.next_number)
     return LoadedJob(message.spec, ledger, message.partial)
--- a/bergamotdoor/steps/item_bodies.py
+++ b/bergamotdoor/steps/item_bodies.py
@@ -1,4 +1,4 @@
-"""Which items' bodies an owner gives, and why it denies others."""
+"""Request bodies of items, and the reasons for which an owner denies one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Denial(enum.Enum):
-    """Why there is no body of an item for good."""
+    """The reason for which an item's body is permanently unavailable."""
 
     ENDED = 'the job has ended'
     LISTED = 'the item is listed'
@@ -24,21 +24,22 @@
 
 
 def body_of(run: JobRun, item: ItemId) -> bytes | Outcome:
-    """Return the body of an item that is not listed, else ABSENT.
+    """Return the request body of an item; ABSENT if it is denied.
 
-    Each denial is logged where it is decided: the entry that was asked
-    knows no more than that there is none.
+    A body is denied if the job has ended, the item is listed already or the
+    job has no such item. The owner logs the reason, since the entry that
+    forwarded the request only learns that there is no body.
     """
     bodies = (one.body for one in run.spec.items if one.item == item)
-    found = _denial(run, item) or next(bodies, Denial.UNKNOWN)
-    if not isinstance(found, Denial):
-        return found
+    body = _denial_reason(run, item) or next(bodies, Denial.UNKNOWN)
+    if not isinstance(body, Denial):
+        return body
     _log.info(
         'gateway: job %s: no body of item %s: %s; run %s, term %d, %d of %d'
         ' listed',
         run.spec.job,
         item,
-        found.value,
+        body.value,
         run.state.value,
         run.found.record.term,
         len(run.ledger),
@@ -47,7 +48,7 @@
     return Outcome.ABSENT
 
 
-def _denial(run: JobRun, item: ItemId) -> Denial | None:
+def _denial_reason(run: JobRun, item: ItemId) -> Denial | None:
     if run.ended:
         return Denial.ENDED
     return Denial.LISTED if item in run.ledger else None
--- a/bergamotdoor/steps/item_outcome.py
+++ b/bergamotdoor/steps/item_outcome.py
@@ -1,4 +1,4 @@
-"""What is learned and counted when an item's run ends."""
+"""Updates loads, fleet and metrics when the run of an item ends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
     from bergamotdoor.entry.context import Context
     from bergamotdoor.steps.item_request import ItemRun
 
-_ENDS: Final = MappingProxyType(
+#: Counters of runs that gave no text; all other ends count as broken.
+_END_COUNTERS: Final = MappingProxyType(
     {
         RunEnd.REFUSED: Counted.ITEM_REFUSED,
         RunEnd.REPLACED: Counted.ITEM_REFUSED,
@@ -33,12 +34,24 @@
     end: ItemResult | RunEnd,
     took: dt.timedelta,
 ) -> None:
-    """Take how a run ended into loads, fleet and metrics."""
-    _learn(context, run, end)
-    _count(context, run, end, took)
+    """Record the end of an item's run in loads, fleet and metrics.
 
+    Parameters
+    ----------
+    context
+        Services of the process.
+    run
+        The run that ended.
+    end
+        The result, or the reason why there is none.
+    took
+        Duration of the run.
+    """
+    _update_load(context, run, end)
+    _count_end(context, run, end, took)
 
-def _count(
+
+def _count_end(
     context: Context,
     run: ItemRun,
     end: ItemResult | RunEnd,
@@ -49,10 +62,14 @@
         context.metrics.record(Stage.UPSTREAM, took, service)
         context.metrics.count(Counted.ITEM_COMPLETED, service)
     else:
-        context.metrics.count(_ENDS.get(end, Counted.ITEM_BROKEN), service)
+        context.metrics.count(
+            _END_COUNTERS.get(end, Counted.ITEM_BROKEN), service
+        )
 
 
-def _learn(context: Context, run: ItemRun, end: ItemResult | RunEnd) -> None:
+def _update_load(
+    context: Context, run: ItemRun, end: ItemResult | RunEnd
+) -> None:
     upstream = run.upstream.upstream
     load = context.loads.of(upstream)
     now = context.clock.elapsed()
--- a/bergamotdoor/steps/item_request.py
+++ b/bergamotdoor/steps/item_request.py
@@ -1,4 +1,4 @@
-"""What is sent to an engine to run an item."""
+"""The request that runs an item at an engine."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 if TYPE_CHECKING:
     from bergamotdoor.types import Fingerprint
 
-#: The longest pause between two pieces of a stream, and the longest wait
-#: for its first. Engines under load pause for a few hundred milliseconds;
-#: one that stays silent for longer hangs, and its items are needed by then.
+#: The longest pause between two pieces of a stream, and the longest wait for
+#: the first piece. Engines under load pause for a few hundred milliseconds.
+#: An engine that sends nothing for longer hangs, and after this time its
+#: items have to run elsewhere.
 SILENCE: Final = dt.timedelta(seconds=2)
 
 
 class ItemRun(msgspec.Struct, frozen=True):
-    """An item, where to run it, and what it has so far."""
+    """One run of an item: the engine, and the item's transcript so far."""
 
     job: JobSpec
     spec: ItemSpec
@@ -37,22 +38,23 @@
 
 
 def item_fingerprint(job: JobSpec, spec: ItemSpec) -> Fingerprint:
-    """Return what stays the same when an item, or another like it, runs.
+    """Return the fingerprint of the request that an item makes.
 
-    Engines read the prompt by the parts that its header names, so items of
-    one path and prompt are one request, under whatever ids and bodies they
-    come. Without that header the body is what is asked.
+    It identifies a request across retries and across items. Engines read the
+    prompt from the parts that the prompt header names, so items with the same
+    path and prompt are the same request, whatever their ids and bodies are.
+    Without that header the body identifies the request.
     """
     prompt = next(
         (text for name, text in spec.headers if name.lower() == names.PROMPT),
         '',
     )
-    asked = prompt.encode() if prompt else spec.body
-    return fingerprint('POST', job.host, spec.path, asked)
+    content = prompt.encode() if prompt else spec.body
+    return fingerprint('POST', job.host, spec.path, content)
 
 
 def item_request(run: ItemRun) -> ClientRequest:
-    """Return the request that begins an item, or goes on with it."""
+    """Return the request that starts an item, or continues its stream."""
     fields = [
         *run.spec.headers,
         ('host', run.job.host),
--- a/bergamotdoor/steps/item_run.py
+++ b/bergamotdoor/steps/item_run.py
@@ -29,12 +29,26 @@
 
 
 async def run_item(context: Context, run: ItemRun) -> ItemResult | RunEnd:
-    """Run an item, or go on with it, at an engine."""
+    """Run an item at an engine, or continue it there, and record the outcome.
+
+    Parameters
+    ----------
+    context
+        Services of the process.
+    run
+        The item, the engine and the item's transcript, to which the events of
+        the engine are appended.
+
+    Returns
+    -------
+    ItemResult or RunEnd
+        The completed text, or the reason why there is none.
+    """
     load = context.loads.of(run.upstream.upstream)
-    began = context.clock.elapsed()
+    started_at = context.clock.elapsed()
     fingerprint = item_fingerprint(run.job, run.spec)
     before = context.quarantine.strikes(fingerprint)
-    end = await _run(context, run)
+    end = await _run_at_engine(context, run)
     now = context.clock.elapsed()
     _log.info(
         'gateway: item %s of job %s at %s: %s after %d ms, %d events, '
@@ -43,11 +57,11 @@
         run.job.job,
         run.upstream.upstream,
         end.value if isinstance(end, RunEnd) else end.state.value,
-        utils.to_ms(now - began),
+        utils.to_ms(now - started_at),
         run.transcript.count,
         load.in_flight,
     )
-    note_outcome(context, run, end, now - began)
+    note_outcome(context, run, end, now - started_at)
     if end is RunEnd.BROKEN:
         await note_end(context, run.upstream, fingerprint, before)
     elif isinstance(end, ItemResult):
@@ -55,7 +69,7 @@
     return end
 
 
-async def _run(context: Context, run: ItemRun) -> ItemResult | RunEnd:
+async def _run_at_engine(context: Context, run: ItemRun) -> ItemResult | RunEnd:
     response = await send(context.client, item_request(run))
     if not isinstance(response, ClientResponse):
         _log.info(
@@ -65,16 +79,17 @@
             response.detail,
         )
         return RunEnd.BROKEN
-    end = _refused(run, response)
+    end = _rejection(run, response)
     if end is None:
-        end = _begin(context, run, response)
+        end = _process_head(context, run, response)
     if end is not None:
         await response.body.aclose()  # type: ignore[attr-defined]
         return end
-    return await _read(context, run, response)
+    return await _read_stream(context, run, response)
 
 
-def _refused(run: ItemRun, response: ClientResponse) -> RunEnd | None:
+def _rejection(run: ItemRun, response: ClientResponse) -> RunEnd | None:
+    """Return the end of a run whose response isn't 200, else ``None``."""
     status = response.status
     if status == HTTPStatus.OK:
         return None
@@ -89,17 +104,24 @@
     return RunEnd.BROKEN
 
 
-def _begin(
+def _process_head(
     context: Context, run: ItemRun, response: ClientResponse
 ) -> RunEnd | None:
+    """Record the load and weight version that a response's head reports.
+
+    Returns
+    -------
+    RunEnd or None
+        The end of the run if its events must not be read, else ``None``.
+    """
     fields = response.headers
     if fields.first(names.REQUEST_ID, run.spec.item) != run.spec.item:
         return RunEnd.BROKEN
-    told = names.parse_load(fields.first(names.LOAD))
+    reported = names.parse_load(fields.first(names.LOAD))
     load = context.loads.of(run.upstream.upstream)
     load.accepted(context.clock.elapsed())
-    if told is not None:
-        load.told(told.running + told.waiting, context.clock.elapsed())
+    if reported is not None:
+        load.told(reported.running + reported.waiting, context.clock.elapsed())
     text = fields.first(names.WEIGHT_VERSION)
     if not text.isdecimal():
         return RunEnd.BROKEN
@@ -111,18 +133,19 @@
     return None
 
 
-async def _read(
+async def _read_stream(
     context: Context, run: ItemRun, response: ClientResponse
 ) -> ItemResult | RunEnd:
+    """Read the event stream of a response into the item's transcript."""
     reader = EventReader(names.WEIGHT_VERSION)
     try:
         async for piece in response.body:
-            _take(context, run, reader.feed(piece))
+            _add_events(context, run, reader.feed(piece))
         reader.check_end()
     except (BodyBrokenError, ValueError) as error:
         await response.body.aclose()  # type: ignore[attr-defined]
         _log.info(
-            'gateway: item %s at %s broke off: %s',
+            'gateway: item %s at %s: the stream broke off: %s',
             run.spec.item,
             run.upstream.upstream,
             error,
@@ -138,9 +161,16 @@
     )
 
 
-def _take(
+def _add_events(
     context: Context, run: ItemRun, events: Iterator[GeneratedEvent]
 ) -> None:
+    """Append events to the item's transcript.
+
+    Raises
+    ------
+    BodyBrokenError
+        If the number of an event isn't the next one.
+    """
     for event in events:
         if not run.transcript.add(event):
             raise BodyBrokenError(f'event {event.number} out of order')
--- a/bergamotdoor/steps/item_suspects.py
+++ b/bergamotdoor/steps/item_suspects.py
@@ -1,4 +1,4 @@
-"""Items under which engines ended: when they run again, and where."""
+"""Limits when and where items run under which engines have crashed."""
 
 from __future__ import annotations
 
@@ -17,37 +17,47 @@
     from bergamotdoor.jobs.messages import ItemSpec, JobSpec
     from bergamotdoor.types import Fingerprint, ItemId, UpstreamId
 
-#: Items from so many strikes on run apart from each other.
-_APART_STRIKES: Final = ITEM_STRIKES - 1
-#: How soon an item is looked at again that found no engine for itself: a
-#: usual event is made in less, and another suspect may end with it.
-_AGAIN_MS: Final = 200
-_AGAIN: Final = dt.timedelta(milliseconds=_AGAIN_MS)
-_NO_TIME: Final = dt.timedelta()
+#: From this many strikes on, an item is isolated: it runs at an engine that
+#: runs no other isolated item.
+_ISOLATION_STRIKES: Final = ITEM_STRIKES - 1
+#: Delay before an item that must wait for other suspects is checked again. An
+#: engine usually generates an event in less time, and the run of another
+#: suspect may end with that event.
+_RECHECK_MS: Final = 200
+_RECHECK_DELAY: Final = dt.timedelta(milliseconds=_RECHECK_MS)
+_NO_WAIT: Final = dt.timedelta()
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class ItemSuspects:
-    """What the items that are suspected may do.
+    """The suspected items that run now, and the limits on starting more.
 
-    Failure: a dozen items run beside the one that ends engines, and some go
-    on together with it, twice. Symptom: by the third end these are as much
-    suspected as it is, and all of them rest while their step waits. Items
-    under which two engines have ended run at different engines, so the next
-    end tells which of them it was.
+    An item is a suspect if an engine ended while it ran the item.
 
-    Failure: items that ask for the same come under many ids, and each goes on
-    at another engine. Symptom: all engines end at once, again and again. From
-    the first end on, one of them runs at a time.
+    Failure: a dozen items run beside the one that crashes engines, and some
+    of them continue together with it at the next engine, twice. Symptom:
+    after the third crash they have as many strikes as the item at fault, and
+    all of them are in quarantine while their job waits. Items under which two
+    engines have ended are isolated: they run at different engines, so that
+    the next crash shows which item causes it.
+
+    Failure: items with the same request arrive under many ids, and each
+    continues at another engine. Symptom: all engines crash at once, again and
+    again. After the first crash only one of these items runs at a time.
+
+    Parameters
+    ----------
+    context
+        Services of the process.
     """
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        #: Suspects that run now, what they ask for, and how many are at each
-        #: engine that run apart.
+        #: Suspects that run now.
         self._running: dict[ItemId, _Suspect] = {}
-        self._apart: Counter[UpstreamId] = Counter()
+        #: How many isolated suspects run at each engine.
+        self._isolated_count: Counter[UpstreamId] = Counter()
 
     def held(
         self,
@@ -61,61 +71,63 @@
         Parameters
         ----------
         job, spec
-            The item.
+            The job and the item.
         upstreams
-            The engines that take it.
+            The engines that may run it.
         now
             The monotonic time.
         """
         quarantine = self._context.quarantine
         if not quarantine:
-            return _NO_TIME
-        found = item_fingerprint(job, spec)
-        rest = quarantine.rest(found, ITEM_STRIKES, now)
+            return _NO_WAIT
+        fingerprint = item_fingerprint(job, spec)
+        rest = quarantine.rest(fingerprint, ITEM_STRIKES, now)
         if rest:
             self._context.metrics.count(Counted.ITEM_QUARANTINED)
             _log.info('gateway: item %s in quarantine for %s', spec.item, rest)
             return rest
-        strikes = quarantine.strikes(found)
-        if strikes and self._runs(found):
-            return _AGAIN
-        if strikes < _APART_STRIKES:
-            return _NO_TIME
-        return _NO_TIME if self.without_others(upstreams) else _AGAIN
+        strikes = quarantine.strikes(fingerprint)
+        if strikes and self._is_running(fingerprint):
+            return _RECHECK_DELAY
+        if strikes < _ISOLATION_STRIKES:
+            return _NO_WAIT
+        return _NO_WAIT if self.without_others(upstreams) else _RECHECK_DELAY
 
     def runs_apart(self, job: JobSpec, spec: ItemSpec) -> bool:
-        """Return whether an item has to run apart from other suspects."""
+        """Return whether an item is isolated from other suspects."""
         quarantine = self._context.quarantine
         if not quarantine:
             return False
-        found = item_fingerprint(job, spec)
-        return quarantine.strikes(found) >= _APART_STRIKES
+        fingerprint = item_fingerprint(job, spec)
+        return quarantine.strikes(fingerprint) >= _ISOLATION_STRIKES
 
     def without_others(
         self, upstreams: tuple[Upstream, ...]
     ) -> tuple[Upstream, ...]:
-        """Return the engines where no suspect runs apart."""
-        return tuple(one for one in upstreams if not self._apart[one.upstream])
+        """Return those engines that run no isolated suspect."""
+        return tuple(
+            one for one in upstreams if not self._isolated_count[one.upstream]
+        )
 
     def enter(self, job: JobSpec, spec: ItemSpec, upstream: UpstreamId) -> None:
-        """Take that an item begins at an engine; others than suspects too."""
+        """Record that an item starts at an engine, if it is a suspect."""
         quarantine = self._context.quarantine
         if not quarantine:
             return
-        found = item_fingerprint(job, spec)
-        strikes = quarantine.strikes(found)
+        fingerprint = item_fingerprint(job, spec)
+        strikes = quarantine.strikes(fingerprint)
         if strikes:
-            apart = strikes >= _APART_STRIKES
-            self._running[spec.item] = _Suspect(found, upstream, apart)
-            self._apart[upstream] += apart
+            isolated = strikes >= _ISOLATION_STRIKES
+            self._running[spec.item] = _Suspect(fingerprint, upstream, isolated)
+            self._isolated_count[upstream] += isolated
 
     def leave(self, item: ItemId) -> None:
-        """Take that an item's run has ended, a suspect's or another's."""
+        """Record that the run of an item has ended, suspect or not."""
         suspect = self._running.pop(item, None)
         if suspect is not None:
-            self._apart[suspect.upstream] -= suspect.apart
+            self._isolated_count[suspect.upstream] -= suspect.isolated
 
-    def _runs(self, fingerprint: Fingerprint) -> bool:
+    def _is_running(self, fingerprint: Fingerprint) -> bool:
         return any(
             suspect.fingerprint == fingerprint
             for suspect in self._running.values()
@@ -123,8 +135,8 @@
 
 
 class _Suspect(NamedTuple):
-    """A suspected item that runs."""
+    """A suspected item that runs at an engine."""
 
     fingerprint: Fingerprint
     upstream: UpstreamId
-    apart: bool
+    isolated: bool
--- a/bergamotdoor/steps/job_finder.py
+++ b/bergamotdoor/steps/job_finder.py
@@ -1,9 +1,9 @@
-"""Finds the process that runs a job, or makes this one run it.
+"""Finds the process that owns a job, or makes this one its owner.
 
-The owner is asked first: it knows each result milliseconds after it was
-stored. If it can't be reached, the entry that needs it takes the job over.
-A second owner costs engine time and nothing else, since positions are
-given by the store.
+The owner is asked first, since it knows a result within milliseconds after it
+was stored. If the owner can't be reached, the entry that needs it takes the
+job over. A second owner costs engine time and nothing else, since the store
+assigns the positions of results.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
     from bergamotdoor.steps.owner import JobOwner
     from bergamotdoor.types import JobId, ModelId
 
-#: Owners of jobs that are remembered; each takes some 300 bytes.
-_MOST_OWNERS: Final = 2048
-#: Models whose trainers' entries are remembered.
-_MOST_MODELS: Final = 256
+#: The most job records that are cached; each takes some 300 bytes.
+_MAX_CACHED_RECORDS: Final = 2048
+#: The most models for which the owner's address is cached.
+_MAX_CACHED_MODELS: Final = 256
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class JobFinder:
-    """Knows who owns which job, and takes over what nobody runs.
+    """Cache of job owners; takes over jobs whose owner is gone.
 
     Parameters
     ----------
     context
-        Which process this is.
+        Services and settings of the process.
     store
-        Where jobs are kept.
+        Store of the jobs.
     owner
-        Runs this process's jobs.
+        The jobs that this process owns.
     """
 
     def __init__(
@@ -54,48 +54,68 @@
         self._store = store
         self._owner = owner
         self._records: dict[JobId, JobRecord] = {}
-        self._owners: dict[ModelId, Address] = {}
+        #: Addresses of the owners of each model's newest job.
+        self._newest_owners: dict[ModelId, Address] = {}
 
     def is_own(self, record: JobRecord) -> bool:
-        """Return whether a record names this process."""
+        """Return whether a job's record names this process as the owner."""
         return record.owner == self._context.settings.node
 
     def owner_of(self, model: ModelId) -> Address | None:
-        """Return where the newest job of a model is run; None is not known."""
-        return self._owners.get(model)
+        """Return the address of the owner of a model's newest job.
+
+        It is ``None`` if no job of the model is known.
+        """
+        return self._newest_owners.get(model)
 
     def remember(
         self, job: JobId, record: JobRecord, model: ModelId | None = None
     ) -> None:
-        """Take who owns a job; an older record is of no interest."""
+        """Cache a job's record, unless a record of a later term is known.
+
+        Parameters
+        ----------
+        job
+            The job.
+        record
+            Its record, which names the owner.
+        model
+            The job's model, if the job is the newest one of the model.
+        """
         if model is not None:
-            self._owners.pop(model, None)
-            self._owners[model] = record.address
-            if len(self._owners) > _MOST_MODELS:
-                self._owners.pop(next(iter(self._owners)))
+            self._newest_owners.pop(model, None)
+            self._newest_owners[model] = record.address
+            if len(self._newest_owners) > _MAX_CACHED_MODELS:
+                self._newest_owners.pop(next(iter(self._newest_owners)))
         known = self._records.pop(job, None)
         if known is not None and known.term > record.term:
             record = known
         self._records[job] = record
-        if len(self._records) > _MOST_OWNERS:
+        if len(self._records) > _MAX_CACHED_RECORDS:
             self._records.pop(next(iter(self._records)))
 
     def is_newest(self, job: JobId, record: JobRecord) -> bool:
-        """Return whether no later owner of a job is known."""
+        """Return whether no record of a later term is known for a job."""
         known = self._records.get(job)
         return known is None or known.term <= record.term
 
     async def record(self, job: JobId) -> JobRecord | Outcome:
-        """Return who owns a job; ABSENT if there is no such job."""
+        """Return a job's record, from the cache or the store.
+
+        It is ABSENT if there is no such job.
+        """
         known = self._records.get(job)
         if known is not None:
             return known
-        found = await self._find(job)
+        found = await self._fetch(job)
         return found if isinstance(found, Outcome) else found.record
 
     async def resume(self, job: JobId) -> JobRun | Outcome:
-        """Go on with a job of this node's last process."""
-        found = await self._find(job)
+        """Continue a job that an earlier process of this node owned.
+
+        Return NOT_DONE if its record names another node.
+        """
+        found = await self._fetch(job)
         if isinstance(found, Outcome):
             return found
         if self.is_own(found.record):
@@ -105,22 +125,29 @@
     async def take_over(
         self, job: JobId, silent: JobRecord
     ) -> JobRun | Outcome:
-        """Run a job whose owner does not answer.
+        """Take over a job whose owner does not answer.
 
         Parameters
         ----------
         job
-            Which one.
+            The job.
         silent
-            The record whose owner was asked.
+            The record that names the owner which did not answer.
+
+        Returns
+        -------
+        JobRun or Outcome
+            The job as it runs here, or the reason why it does not: ABSENT if
+            there is no such job, NOT_DONE if another process has taken it
+            over before or a call of the store has failed.
         """
-        found = await self._find(job)
+        found = await self._fetch(job)
         if isinstance(found, Outcome):
             return found
         if self.is_own(found.record) or found.status.ended:
             return await self.adopt(found)
         if found.record.term > silent.term:
-            # Another process was faster: the next read goes there.
+            # Another process took it over first. The next read goes there.
             return Outcome.NOT_DONE
         _log.warning(
             'gateway: job %s: owner %s does not answer, taking over',
@@ -133,38 +160,49 @@
         return await self.adopt(claimed)
 
     async def adopt(self, found: FoundJob) -> JobRun | Outcome:
-        """Load a job and run it, or serve it if it is ended."""
+        """Load a job from the store and run it; an ended job is only served.
+
+        Return NOT_DONE if the job could not be loaded, or this process stops.
+        """
         if self._owner.stopping and not found.status.ended:
             return Outcome.NOT_DONE
         known = self._owner.get(found.job)
         if known is not None and known.state is RunState.RUNNING:
             known.take_record(found)
             return known
-        began = self._context.clock.elapsed()
+        started_at = self._context.clock.elapsed()
         loaded = await self._store.load(found.job)
         if isinstance(loaded, Outcome):
             return Outcome.NOT_DONE
         return self._owner.adopt(
-            found, msgspec.structs.replace(loaded, read_at=began)
+            found, msgspec.structs.replace(loaded, read_at=started_at)
         )
 
     async def take_handed(
         self, found: FoundJob, loaded: LoadedJob
     ) -> JobRun | Outcome:
-        """Run a job that its owner, which stops, hands on with all it has."""
+        """Run a job whose stopping owner has sent its whole state.
+
+        Parameters
+        ----------
+        found
+            The job's record as the stopping owner knew it.
+        loaded
+            The job's body, results and partial transcripts.
+        """
         claimed = await self._claim(found)
         if isinstance(claimed, Outcome):
             return claimed
         return self._owner.adopt(claimed, loaded)
 
     async def _claim(self, found: FoundJob) -> FoundJob | Outcome:
-        """Become a job's owner in the store; NOT_DONE if another one is."""
+        """Become a job's owner in the store; NOT_DONE if that failed."""
         if self._owner.stopping:
             return Outcome.NOT_DONE
-        later = msgspec.structs.replace(
+        next_term = msgspec.structs.replace(
             found.record, term=found.record.term + 1
         )
-        own = self._context.own_record(later)
+        own = self._context.own_record(next_term)
         claimed = await self._store.claim(found, own)
         if isinstance(claimed, Outcome):
             return claimed
@@ -173,7 +211,8 @@
             return Outcome.NOT_DONE
         return claimed
 
-    async def _find(self, job: JobId) -> FoundJob | Outcome:
+    async def _fetch(self, job: JobId) -> FoundJob | Outcome:
+        """Read a job's record from the store and cache it."""
         found = await self._store.find(job)
         if not isinstance(found, Outcome):
             self.remember(job, found.record)
--- a/bergamotdoor/steps/job_keeper.py
+++ b/bergamotdoor/steps/job_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps what a job's open items have, for an owner that comes after."""
+"""Saves the partial transcripts of a job's items for a later owner."""
 
 from __future__ import annotations
 
@@ -12,35 +12,47 @@
     from bergamotdoor.steps.job_run import JobRun
     from bergamotdoor.types import ItemId
 
-#: How often open items are kept, and from how many events on. One call
-#: every so often saves a second owner as much time.
-_EVERY_S: Final = 1.5
-_EVERY: Final = dt.timedelta(seconds=_EVERY_S)
-_LEAST_EVENTS: Final = 25
+#: Interval between two saves. One call of the store in each interval saves a
+#: later owner as much generation time.
+_SAVE_INTERVAL_S: Final = 1.5
+_SAVE_INTERVAL: Final = dt.timedelta(seconds=_SAVE_INTERVAL_S)
+#: The fewest events of a transcript that is saved, and the fewest new events
+#: of all transcripts together for which a call of the store is made.
+_MIN_EVENTS: Final = 25
 
 
 async def keep_open_items(run: JobRun, store: JobStore, clock: Clock) -> None:
-    """Keep what open items have so far, as long as items run.
-
-    Failure: the owner is killed while a step waits for its longest items,
-    or for the service that scores them. Symptom: they begin anew at the next
-    owner, and the step misses its time. Kept every so often, they go on
-    where they were.
+    """Save the transcripts of open items at intervals, while items run.
+
+    Failure: the owner is killed while a job waits for its longest items, or
+    for the service that scores them. Symptom: these items start from their
+    beginning at the next owner, and the training step misses its deadline.
+    With a recent save they continue where they were.
+
+    Parameters
+    ----------
+    run
+        The job; the function returns once the job is no longer active here.
+    store
+        Store in which the transcripts are saved.
+    clock
+        Clock for the interval.
     """
-    kept: dict[ItemId, SavedTranscript] = {}
+    last_saved: dict[ItemId, SavedTranscript] = {}
     while run.active:
-        await clock.sleep(_EVERY)
-        saved = run.items.saved(_LEAST_EVENTS)
-        if run.active and _gain(saved, kept) >= _LEAST_EVENTS:
-            kept = saved
+        await clock.sleep(_SAVE_INTERVAL)
+        saved = run.items.saved(_MIN_EVENTS)
+        if run.active and _count_new_events(saved, last_saved) >= _MIN_EVENTS:
+            last_saved = saved
             await store.keep_partial(run.spec.job, saved)
 
 
-def _gain(
-    saved: dict[ItemId, SavedTranscript], kept: dict[ItemId, SavedTranscript]
+def _count_new_events(
+    saved: dict[ItemId, SavedTranscript],
+    last_saved: dict[ItemId, SavedTranscript],
 ) -> int:
-    """Return how many events are there that were not kept before."""
-    before = {item: len(one.texts) for item, one in kept.items()}
+    """Return how many events were added since the last save."""
+    before = {item: len(one.texts) for item, one in last_saved.items()}
     return sum(
         len(one.texts) - before.get(item, 0) for item, one in saved.items()
     )
--- a/bergamotdoor/steps/job_run.py
+++ b/bergamotdoor/steps/job_run.py
@@ -1,4 +1,4 @@
-"""One batch job that this process runs: its items and its results."""
+"""The state of one batch job at the process that owns it."""
 
 from __future__ import annotations
 
@@ -29,38 +29,39 @@
 
 
 class RunState(enum.Enum):
-    """What a process still does for a job."""
+    """What a process does for a job that it owns or owned."""
 
-    #: Its items run here.
+    #: The items of the job run here.
     RUNNING = 'running'
-    #: Another process runs them, or will.
+    #: Another process runs the items, or will run them.
     STOPPED = 'stopped'
-    #: Its end was confirmed: nobody runs them.
+    #: The end of the job was confirmed, so no process runs its items.
     ENDED = 'ended'
 
 
 class RunningItem(msgspec.Struct, frozen=True):
-    """An item that runs now."""
+    """An item that runs now, and the task that runs it."""
 
     progress: Progress
     task: asyncio.Task[None]
 
 
 class JobRun:
-    """State of a job at its owner.
+    """A job at its owner: the items, the results and the waiting readers.
 
     Parameters
     ----------
     context
         Services of the process.
     store
-        Where results are kept.
+        Store of the results.
     found
         The job's record.
     loaded
-        Its body and the results so far.
+        The job's body, its results so far and saved partial transcripts.
     due_at
-        When its results are wanted; earlier ones go first.
+        Monotonic time at which the trainer needs the results. The items of
+        the job with the earliest time start first.
     """
 
     def __init__(
@@ -83,39 +84,48 @@
             context.clock,
             loaded.read_at,
         )
-        #: Set once results can be listed, or the job is over.
+        #: Set when results can be listed, or the job is stopped or ended.
         self.finished = asyncio.Event()
         self.items = OpenItems(
             loaded.spec, loaded.ledger, loaded.partial, self.finished.set
         )
         self.running: dict[ItemId, RunningItem] = {}
-        self._scoring: set[asyncio.Task[None]] = set()
+        #: Score calls in progress.
+        self._score_tasks: set[asyncio.Task[None]] = set()
         self.state = RunState.RUNNING
         self._context = context
-        #: When its route was last known.
-        self._routed_at = self.began
-        self._grown = asyncio.Event()
+        #: When the job's route was last known.
+        self._route_known_at = self.began
+        #: Set and replaced when there are new results or the job is over.
+        self._results_changed = asyncio.Event()
 
     def routeless(self, route: Route | None) -> dt.timedelta:
-        """Take its route, if it is known; return how long it has not been."""
+        """Return for how long the job's route has not been known.
+
+        Parameters
+        ----------
+        route
+            The route now; ``None`` if the manifest has none for the job.
+        """
         now = self._context.clock.elapsed()
         if route is not None:
-            self._routed_at = now
-        return now - self._routed_at
+            self._route_known_at = now
+        return now - self._route_known_at
 
     def take_record(self, found: FoundJob) -> None:
-        """Take the job's record, if it is of a later term.
+        """Replace the job's record by one of a later term.
 
-        Failure: a lookup of the record is answered seconds late, by when the
-        job was handed back here. Symptom: the owner has an older term than
-        the store, takes its own for another's, and stops. A term only grows.
+        Failure: the store answers a lookup of the record seconds late, after
+        the job was handed back to this process. Symptom: the owner goes on
+        with an older term than the store has, takes its own newer record for
+        another owner's, and stops the job. So an older record is ignored.
         """
         if found.record.term > self.found.record.term:
             self.found = found
 
     @property
     def active(self) -> bool:
-        """Whether items may still be started."""
+        """Whether the job runs here and has items without a result."""
         running = self.state is RunState.RUNNING
         return running and self.items.board.open_items > 0
 
@@ -125,27 +135,27 @@
         return self.state is RunState.ENDED
 
     def take_scoring(self, task: asyncio.Task[None]) -> None:
-        """Take a score call of an item, to be ended with the job."""
-        self._scoring.add(task)
-        task.add_done_callback(self._scoring.discard)
+        """Track the task of a score call, to be cancelled with the job."""
+        self._score_tasks.add(task)
+        task.add_done_callback(self._score_tasks.discard)
 
     def give_up(self) -> None:
-        """List every item that has no result as lost."""
+        """Finish every item that has no result as lost."""
         self.items.give_up()
         self._cancel_all()
         self.finished.set()
 
     def end(self) -> None:
-        """Stop all items for good; what is listed stays listed."""
+        """Stop the job for good; its listed results remain readable."""
         self.stop()
         self.state = RunState.ENDED
 
     def stop(self) -> None:
-        """Stop all items here; the job goes on elsewhere.
+        """Stop all items here, while another process continues the job.
 
-        Failure: a job that another process goes on with is taken for an
-        ended one. Symptom: a trainer asks for the body of an item that
-        waits, while its owner hands it over, and is told that there is
+        Failure: a job that another process continues is treated like an ended
+        one. Symptom: a trainer requests the body of an item that waits, while
+        the owner hands the job off, and receives the response that there is
         none. Readers are served from a stopped job as from a running one.
         """
         self.state = RunState.STOPPED
@@ -154,7 +164,7 @@
         self.announce()
 
     def note_end(self) -> None:
-        """Count and log how far it came."""
+        """Record the job's duration and result count in metrics and log."""
         metrics = self._context.metrics
         listed = len(self.ledger)
         metrics.record(Stage.STEP, self._context.clock.elapsed() - self.began)
@@ -168,7 +178,18 @@
         )
 
     async def catch_up(self, age: dt.timedelta) -> bool:
-        """Take what other owners listed; whether all of that is known."""
+        """Add the results that other owners have listed.
+
+        Parameters
+        ----------
+        age
+            How old the last check of the store may be without a new one.
+
+        Returns
+        -------
+        bool
+            Whether all listed results are known.
+        """
         before = len(self.ledger)
         known = await self.sync.catch_up(age)
         if len(self.ledger) > before:
@@ -177,16 +198,24 @@
         return known
 
     def take_results(self, results: tuple[ItemResult, ...]) -> None:
-        """Take results that have their positions, by whichever owner."""
+        """Record results that were listed, by this owner or another one."""
         for result in results:
             self.items.stored(result)
 
     async def wait_beyond(self, after: int, timeout_s: float) -> None:
-        """Return once there is a result at a position, or it is over."""
+        """Wait until a result has a position, every item is listed, or timeout.
+
+        Parameters
+        ----------
+        after
+            The position, from zero.
+        timeout_s
+            The longest wait, in seconds.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 while len(self.ledger) <= after and not self.complete:
-                    await self._grown.wait()
+                    await self._results_changed.wait()
         except TimeoutError:
             return
 
@@ -196,12 +225,12 @@
         return len(self.ledger) >= len(self.spec.items)
 
     def announce(self) -> None:
-        """Wake the readers: there are more results, or it is over."""
-        self._grown.set()
-        self._grown = asyncio.Event()
+        """Notify the waiting readers of new results or of the job's end."""
+        self._results_changed.set()
+        self._results_changed = asyncio.Event()
 
     def _cancel_all(self) -> None:
         for item in self.running.values():
             item.task.cancel()
-        for task in self._scoring:
+        for task in self._score_tasks:
             task.cancel()
--- a/bergamotdoor/steps/jobs_desk.py
+++ b/bergamotdoor/steps/jobs_desk.py
@@ -1,4 +1,4 @@
-"""Batch jobs as any entry serves them, whichever entry owns them."""
+"""Reads of batch jobs, served by any entry whichever entry owns the job."""
 
 from __future__ import annotations
 
@@ -29,34 +29,40 @@
     from bergamotdoor.steps.owner import JobOwner
     from bergamotdoor.types import AccountId, ItemId, JobId
 
-#: A failure that comes sooner is a reset or a refused connection.
-_AT_ONCE_MS: Final = 200
-_AT_ONCE: Final = dt.timedelta(milliseconds=_AT_ONCE_MS)
-#: How long before a reader's wait ends the store is asked: its usual answer
-#: takes milliseconds, one that is sixty times as slow a quarter of a second.
-_PROOF_MS: Final = 300
-_PROOF: Final = dt.timedelta(milliseconds=_PROOF_MS)
-#: Within the 400 ms that another entry waits beyond the reader.
-_MARGIN_MS: Final = 250
-_MARGIN: Final = dt.timedelta(milliseconds=_MARGIN_MS)
-_MS: Final = dt.timedelta(milliseconds=1)
+#: A peer call that fails sooner than this failed by a connection reset or a
+#: refused connection, and is retried once.
+_FAST_FAILURE_MS: Final = 200
+_FAST_FAILURE: Final = dt.timedelta(milliseconds=_FAST_FAILURE_MS)
+#: How long before the end of a reader's wait the store is asked for new
+#: results. The store usually answers within milliseconds; an answer that is
+#: sixty times as slow takes a quarter of a second.
+_STORE_CHECK_MS: Final = 300
+_STORE_CHECK_TIME: Final = dt.timedelta(milliseconds=_STORE_CHECK_MS)
+#: How long the check of the store may outlast the reader's wait. It is less
+#: than the 400 ms that the calling entry waits beyond the reader.
+_STORE_CHECK_MARGIN_MS: Final = 250
+_STORE_CHECK_MARGIN: Final = dt.timedelta(milliseconds=_STORE_CHECK_MARGIN_MS)
+_MILLISECOND: Final = dt.timedelta(milliseconds=1)
 _log = logging.getLogger('bergamotdoor.gateway')
 _NO_WAIT: Final = dt.timedelta()
 
 
 class JobsDesk:
-    """Serves the readers of jobs.
+    """Service for reading results and item bodies of jobs.
+
+    A job that this process doesn't own is read from its owner. If the owner
+    does not answer, this process takes the job over.
 
     Parameters
     ----------
     owner
-        Runs this process's jobs.
+        The jobs that this process owns.
     finder
-        Knows the owners of others.
+        Cache of job owners, which also takes jobs over.
     peers
-        Reaches them.
+        Client for calls to other entries.
     clock
-        Tells how long that takes.
+        Clock that measures the duration of these calls.
     """
 
     def __init__(
@@ -66,14 +72,14 @@
         peers: PeerClient,
         clock: Clock,
     ) -> None:
-        self._listed = ListedResults()
+        self._cached_results = ListedResults()
         self._owner = owner
         self._finder = finder
         self._peers = peers
         self._clock = clock
 
     async def account_of(self, job: JobId) -> AccountId | Outcome:
-        """Return whose job it is; ABSENT if there is no such job."""
+        """Return the client account of a job; ABSENT if there is no job."""
         run = self._owner.get(job)
         if run is not None:
             return run.spec.account
@@ -83,8 +89,18 @@
     async def read(
         self, job: JobId, after: int, wait: dt.timedelta
     ) -> ResultPage | Outcome:
-        """Return results from a position on; ABSENT if there is no job."""
-        page = await self._page(job, after, wait)
+        """Return listed results of a job; ABSENT if there is no such job.
+
+        Parameters
+        ----------
+        job
+            The job.
+        after
+            The first position, from zero.
+        wait
+            The longest wait for a result at that position.
+        """
+        page = await self._read_page(job, after, wait)
         if isinstance(page, ResultPage) and page.results:
             _log.info(
                 'gateway: job %s: shown to position %d',
@@ -94,93 +110,106 @@
         return page
 
     async def body(self, job: JobId, item: ItemId) -> bytes | Outcome:
-        """Return an item's body, ABSENT if it is listed or unknown."""
+        """Return an item's request body; ABSENT if it is listed or unknown."""
         message = ReadBody(job, item)
-        found = await self._locate(job, message, dt.timedelta())
+        found = await self._query_owner(job, message, dt.timedelta())
         if isinstance(found, JobRun):
             return body_of(found, item)
         if isinstance(found, ItemBody):
             return Outcome.ABSENT if found.body is None else found.body
         return found if isinstance(found, Outcome) else Outcome.NOT_DONE
 
-    async def _page(
+    async def _read_page(
         self, job: JobId, after: int, wait: dt.timedelta
     ) -> ResultPage | Outcome:
-        """Return a page for a caller.
+        """Return a page of results for a client's read.
 
-        As many as the caller takes: it has no other way, and half a second
-        between two reads is longer than the largest page takes on the
-        slowest link, a quarter of a second on 30 Mbit/s.
+        The page is as large as a client may receive. Smaller pages would be
+        slower: a client can get the results in no other way, and the pause of
+        half a second between two reads is longer than the transfer of the
+        largest page, a quarter of a second on the slowest link of 30 Mbit/s.
         """
         run = self._owner.get(job)
         if run is not None:
             return await page_of(run, after, wait, LARGEST_PAGE_BYTES)
-        shown = self._listed.shown(job, after, LARGEST_PAGE_BYTES)
-        if shown.enough:
-            return ResultPage(shown.total, shown.results)
-        behind = after + len(shown.results)
-        more = await self._read_owner(
-            job, behind, _NO_WAIT if shown.results else wait
+        cached = self._cached_results.shown(job, after, LARGEST_PAGE_BYTES)
+        if cached.enough:
+            return ResultPage(cached.total, cached.results)
+        next_position = after + len(cached.results)
+        more = await self._read_from_owner(
+            job, next_position, _NO_WAIT if cached.results else wait
         )
         if isinstance(more, Outcome):
-            if not shown.results:
+            if not cached.results:
                 return more
-            # What was shown once stays listed, whoever can be reached.
-            return ResultPage(shown.total, shown.results)
-        results = that_fit((*shown.results, *more.results), LARGEST_PAGE_BYTES)
+            # Listed results never change, so those in the cache can be
+            # returned even if neither the owner nor the store answers.
+            return ResultPage(cached.total, cached.results)
+        results = that_fit((*cached.results, *more.results), LARGEST_PAGE_BYTES)
         return ResultPage(more.total, tuple(results))
 
-    async def _read_owner(
+    async def _read_from_owner(
         self, job: JobId, after: int, wait: dt.timedelta
     ) -> ResultPage | Outcome:
-        message = ReadResults(job, after, wait // _MS)
-        found = await self._locate(job, message, wait)
+        """Return results that the owner sends, and cache them."""
+        message = ReadResults(job, after, wait // _MILLISECOND)
+        found = await self._query_owner(job, message, wait)
         if isinstance(found, JobRun):
             return await page_of(found, after, wait, LARGEST_PAGE_BYTES)
         if isinstance(found, ItemBody):
             return Outcome.NOT_DONE
         if isinstance(found, ResultPage):
-            self._listed.take(job, after, found)
+            self._cached_results.take(job, after, found)
         return found
 
-    async def _locate(
+    async def _query_owner(
         self, job: JobId, message: ReadResults | ReadBody, wait: dt.timedelta
     ) -> ResultPage | ItemBody | JobRun | Outcome:
-        """Ask the owner, or become it if it does not answer."""
+        """Return the owner's reply to a message about a job.
+
+        If the owner does not answer, this process takes the job over.
+
+        Returns
+        -------
+        ResultPage or ItemBody or JobRun or Outcome
+            The owner's reply, or the job if this process owns it.
+        """
         run = self._owner.get(job)
         if run is not None:
             return run
         record = await self._finder.record(job)
         if isinstance(record, Outcome):
             return record
-        reply = await self._ask(record, message, wait)
+        reply = await self._ask_owner(record, message, wait)
         if reply is not None:
             return reply
         found = await self._finder.take_over(job, record)
         if found is not Outcome.NOT_DONE:
             return found
-        # Perhaps another entry has taken it over meanwhile.
+        # Another entry may have taken the job over meanwhile.
         newer = await self._finder.record(job)
         if isinstance(newer, Outcome) or newer == record:
             return found
-        return await self._ask(newer, message, wait) or found
+        return await self._ask_owner(newer, message, wait) or found
 
-    async def _ask(
+    async def _ask_owner(
         self,
         record: JobRecord,
         message: ReadResults | ReadBody,
         wait: dt.timedelta,
     ) -> ResultPage | ItemBody | Outcome | None:
-        """Return the owner's answer, None if it is gone.
+        """Return the owner's reply; ``None`` if the owner is gone.
 
-        NOT_DONE is an owner that lives and cannot tell now.
+        NOT_DONE means that the owner is alive and does not know whether there
+        are more results.
         """
         if self._finder.is_own(record):
             return None
-        began = self._clock.elapsed()
+        started_at = self._clock.elapsed()
         reply = await self._peers.ask(record.address, message, wait)
-        if reply is None and self._clock.elapsed() - began < _AT_ONCE:
-            # One reset is no reason to begin a step's long items anew.
+        if reply is None and self._clock.elapsed() - started_at < _FAST_FAILURE:
+            # A takeover after a single connection reset would restart the
+            # long items of a job.
             reply = await self._peers.ask(record.address, message, wait)
         if isinstance(reply, NotKnown):
             return Outcome.NOT_DONE
@@ -193,7 +222,7 @@
     wait: dt.timedelta,
     limit_bytes: int,
 ) -> ResultPage | Outcome:
-    """Return results of a job that this process has.
+    """Return results of a job that this process owns.
 
     Parameters
     ----------
@@ -202,46 +231,68 @@
     after
         The first position, from zero.
     wait
-        How long to wait until there is one.
+        The longest wait for a result at that position.
     limit_bytes
         How much text the page may hold, if it is more than one result.
 
     Returns
     -------
     ResultPage or Outcome
-        NOT_DONE is that it cannot tell whether another one has listed more.
+        NOT_DONE if there is no such result here, and it is unknown whether
+        another owner has listed one.
 
     Notes
     -----
-    Failure: the store is slow, and the owner asks it before it says that
-    there is nothing more. Symptom: its answer comes too late, it is taken
-    for gone, and the step begins anew elsewhere. So the store is asked while
-    the reader waits, and not for longer than the reader's entry does.
+    Failure: the store is slow, and the owner asks it for new results before
+    it responds that there are none. Symptom: the response comes too late, the
+    owner is taken for gone, and the job is started again elsewhere. So the
+    store is asked while the reader waits, and the check is cancelled before
+    the reader's entry stops waiting.
     """
-    last = min(wait, _PROOF)
-    await run.wait_beyond(after, (wait - last).total_seconds())
+    final_wait = min(wait, _STORE_CHECK_TIME)
+    await run.wait_beyond(after, (wait - final_wait).total_seconds())
     if not _has_more(run, after):
-        known = await _proven(run, after, last)
-        # Results may have come while the store was asked.
-        if not known and not _has_more(run, after):
+        is_proven = await _check_store(run, after, final_wait)
+        # Results may have been listed while the store was asked.
+        if not is_proven and not _has_more(run, after):
             return Outcome.NOT_DONE
     total = len(run.spec.items)
     return ResultPage(total, run.ledger.page(after, limit_bytes))
 
 
 def _has_more(run: JobRun, after: int) -> bool:
+    """Return whether a read need not wait for the result at a position.
+
+    The result is listed, or every item of the job is.
+    """
     return len(run.ledger) > after or run.complete
 
 
-async def _proven(run: JobRun, after: int, last: dt.timedelta) -> bool:
-    """Ask the store while a reader waits for the last time.
+async def _check_store(
+    run: JobRun, after: int, final_wait: dt.timedelta
+) -> bool:
+    """Return whether the ledger is proven complete.
 
-    The proof is as fresh at the end of the wait as it has to be.
+    The store is asked during the last part of a reader's wait, unless the
+    last proof is still recent enough at the end of the wait.
+
+    Parameters
+    ----------
+    run
+        The job.
+    after
+        The position for which the reader waits.
+    final_wait
+        The last part of the wait.
     """
-    waiting = run.wait_beyond(after, last.total_seconds())
+    waiting = run.wait_beyond(after, final_wait.total_seconds())
     try:
-        async with asyncio.timeout((last + _MARGIN).total_seconds()):
-            known, _ = await asyncio.gather(run.catch_up(FRESH - last), waiting)
+        async with asyncio.timeout(
+            (final_wait + _STORE_CHECK_MARGIN).total_seconds()
+        ):
+            is_proven, _ = await asyncio.gather(
+                run.catch_up(FRESH - final_wait), waiting
+            )
     except TimeoutError:
         return False
-    return known
+    return is_proven
--- a/bergamotdoor/steps/jobs_intake.py
+++ b/bergamotdoor/steps/jobs_intake.py
@@ -1,4 +1,4 @@
-"""Takes batch jobs in, hands them to their home entry, and ends them."""
+"""Submission of batch jobs, their assignment to an entry, and their end."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 class JobsIntake:
-    """Takes jobs in and ends them.
+    """Service that submits jobs to the store and ends them.
 
     Parameters
     ----------
     context
-        Which process this is.
+        Services and settings of the process.
     store
-        Where jobs are kept.
+        Store of the jobs.
     owner
-        Runs this process's jobs.
+        The jobs that this process owns.
     finder
-        Knows the owners.
+        Cache of job owners.
     others
-        The other entries, and what tells them of jobs.
+        Client that notifies other entries of jobs.
     """
 
     def __init__(
@@ -53,7 +53,16 @@
         self._others = others
 
     async def submit(self, spec: JobSpec) -> Outcome | None:
-        """Take a job in; None once it is kept for good."""
+        """Store a job and have its home entry run it.
+
+        A job that was submitted before is not stored again.
+
+        Returns
+        -------
+        Outcome or None
+            ``None`` once the job is stored; FOREIGN if the job belongs to
+            another client account.
+        """
         submitted = await self._store.submit(spec, self._home_record(spec))
         if isinstance(submitted, Outcome):
             return submitted
@@ -71,12 +80,13 @@
         return None
 
     async def end(self, job: JobId) -> Outcome | None:
-        """End a job; None once that is kept for good."""
+        """End a job and stop its owner; ``None`` once the end is stored."""
         found = await self._store.end(job)
         if isinstance(found, Outcome):
             return found
         self._owner.end(job)
-        # Neither who has the job nor who had it need be its owner.
+        # This process may run the job, or may have run it before, although
+        # another entry is its owner now.
         if found is not None:
             self._finder.remember(job, found.record)
         if found is None or not self._finder.is_own(found.record):
@@ -84,7 +94,7 @@
         return None
 
     def _home_record(self, spec: JobSpec) -> JobRecord:
-        """Name the entry that runs the jobs of a trainer."""
+        """Return the first record of a job, which names its home entry."""
         node = self._context.settings.node
         own = self._context.own_entry
         entries = dict(self._others.directory.entries)
--- a/bergamotdoor/steps/ledger_sync.py
+++ b/bergamotdoor/steps/ledger_sync.py
@@ -1,4 +1,4 @@
-"""Keeps a process's ledger of a job in step with the store."""
+"""Keeps a process's ledger of a job synchronized with the store."""
 
 from __future__ import annotations
 
@@ -17,46 +17,49 @@
     from bergamotdoor.objects.job_store import JobStore
     from bergamotdoor.types import JobId
 
-#: A reader is told that there is nothing more by a ledger of this age at
-#: most. A second after a position was read anywhere it must be there
-#: everywhere, and an answer takes its way.
+#: The oldest proof of a complete ledger on which a reader may be told that
+#: there are no more results. Any position that was read anywhere must be
+#: readable at every entry a second later, and the response takes part of that
+#: second.
 FRESH_MS: Final = 600
 FRESH: Final = dt.timedelta(milliseconds=FRESH_MS)
-#: How long a reader waits for a call of the store that is under way.
-_LOCK_S: Final = 0.4
-#: Pauses between two tries to store the same record.
-_PAUSES_S: Final = (0.05, 0.1, 0.2, 0.4)
+#: How long a reader waits for another call of the store to end.
+_LOCK_TIMEOUT_S: Final = 0.4
+#: Pauses between the attempts to store the same record.
+_RETRY_PAUSES_S: Final = (0.05, 0.1, 0.2, 0.4)
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class LedgerSync:
-    """Adds to a ledger, and looks for what other processes added.
+    """Appends to a job's ledger and reads what other processes appended.
 
-    Failure: an owner is taken over and does not know it yet. Symptom: a
-    reader that has read further elsewhere is told by the owner before that
-    there is nothing at a position it has read. Each record has the next
-    number, so that nothing has that number in the store proves that the
-    ledger is complete at that moment; an older proof than ``FRESH`` is
-    renewed before a reader is told that there is nothing more.
+    Failure: a job is taken over and its former owner does not know it yet.
+    Symptom: the former owner tells a reader that there is no result at a
+    position which the reader has already read elsewhere. Records are numbered
+    without gaps, so if the store has no record with the next number, the
+    ledger is proven complete at that moment. A proof that is older than
+    ``FRESH`` is renewed before a reader is told that there are no more
+    results.
 
-    Failure: a job is handed in while its home is paused, and another entry
-    takes it over. Symptom: the home hears late that it should run the job,
-    begins with an empty ledger and denies what was read elsewhere. What was
-    not read from the store proves nothing.
+    Failure: a job is submitted while its home entry is paused, and another
+    entry takes it over. Symptom: the home entry receives the job late, starts
+    with an empty ledger and denies results that were read elsewhere. A ledger
+    that was not read from the store is therefore no proof.
 
     Parameters
     ----------
     job
-        Whose ledger.
+        The job.
     ledger
-        What is known.
+        The results that are known here; new records are appended to it.
     store
-        Where the records are.
+        Store of the result records.
     clock
-        Tells how old a proof is.
+        Clock that measures the age of a proof.
     proven_at
-        When the store was asked for the ledger; None if it was not.
+        Monotonic time at which the ledger was requested from the store;
+        ``None`` if the ledger was not read from the store.
     """
 
     def __init__(
@@ -79,69 +82,82 @@
     ) -> ResultRecord | None:
         """Store results under the next number, or read the record there.
 
-        Tried unchanged until it is settled: under another number, or with
-        other results, an item could come to stand at two positions once the
-        first call takes effect.
+        The same record is retried under the same number until the outcome is
+        known. Under another number, or with other results, an item could get
+        two positions once the first call takes effect.
 
-        Failure: while results wait for their turn, what others listed is
-        read for a reader. Symptom: a record is stored with items that have
-        a position, so they stand in the store twice. What is listed is left
-        out once their turn has come, and nothing else is read until the
-        record is settled.
+        Failure: while results wait for the lock, a reader's check appends
+        records of other owners to the ledger. Symptom: a record is stored
+        with items that have a position already, so they are in the store
+        twice. Listed items are left out after the lock was acquired, and
+        no other records are read until the outcome is known.
+
+        Parameters
+        ----------
+        writer
+            Random name that identifies this call's record.
+        batch
+            The results.
 
         Returns
         -------
         ResultRecord or None
-            The record that has the number: this writer's, or another's.
-            None if all of the results have a position.
+            The record that has the number: the new one, or one of another
+            process. ``None`` if all results have a position already.
         """
         async with self._lock:
-            left = tuple(self._ledger.unlisted(batch))
+            unlisted = tuple(self._ledger.unlisted(batch))
             return (
-                await self._settle(ResultRecord(writer, left)) if left else None
+                await self._append_record(ResultRecord(writer, unlisted))
+                if unlisted
+                else None
             )
 
     async def catch_up(self, age: dt.timedelta = FRESH) -> bool:
-        """Read what others added; return whether the ledger is complete.
+        """Read records of other processes; return whether none is missing.
 
         Parameters
         ----------
         age
-            How old the proof may be.
+            The oldest proof that needs no call of the store.
         """
         now = self._clock.elapsed()
         if self._proven_at is not None and now - self._proven_at <= age:
             return True
         try:
-            async with asyncio.timeout(_LOCK_S):
+            async with asyncio.timeout(_LOCK_TIMEOUT_S):
                 await self._lock.acquire()
         except TimeoutError:
             return False
         try:
-            return await self._read_on()
+            return await self._read_new_records()
         finally:
             self._lock.release()
 
-    async def _settle(self, record: ResultRecord) -> ResultRecord:
+    async def _append_record(self, record: ResultRecord) -> ResultRecord:
+        """Retry until a record with the next number is stored; return it."""
         tries = 0
         while True:
-            began = self._clock.elapsed()
+            started_at = self._clock.elapsed()
             number = self._ledger.next_number
             found = await self._store.append(self._job, number, record)
             if not isinstance(found, Outcome):
-                self._proven_at = began
+                self._proven_at = started_at
                 self._ledger.append(found)
                 return found
-            await asyncio.sleep(_PAUSES_S[min(tries, len(_PAUSES_S) - 1)])
+            await asyncio.sleep(
+                _RETRY_PAUSES_S[min(tries, len(_RETRY_PAUSES_S) - 1)]
+            )
             tries += 1
 
-    async def _read_on(self) -> bool:
+    async def _read_new_records(self) -> bool:
+        """Append records until there is none; False if the store failed."""
         while True:
-            began = self._clock.elapsed()
+            started_at = self._clock.elapsed()
             number = self._ledger.next_number
             found = await self._store.record_at(self._job, number)
             if found is Outcome.ABSENT:
-                self._proven_at = began
+                self._proven_at = started_at
                 return True
             if isinstance(found, Outcome):
                 return False
--- a/bergamotdoor/steps/listed_results.py
+++ b/bergamotdoor/steps/listed_results.py
@@ -1,4 +1,4 @@
-"""Results of other entries' jobs that this entry has shown already."""
+"""Cache of listed results of jobs that other entries own."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from bergamotdoor.peers.messages import ResultPage
     from bergamotdoor.types import JobId
 
-#: How much text is kept: a few steps of a hundred items, beside which the
-#: process itself takes 25 MB.
-_MOST_BYTES: Final = 6_291_456
+#: The most text that is cached: a few jobs of a hundred items. The process
+#: takes 25 MB without it.
+_MAX_BYTES: Final = 6_291_456
 
 
-class _Job(msgspec.Struct):
-    """What is known of one job's results."""
+class _CachedJob(msgspec.Struct):
+    """The results of one job that are cached."""
 
     total: int
     by_position: dict[int, ItemResult] = {}
@@ -30,71 +30,80 @@
 
 
 class Shown(msgspec.Struct, frozen=True):
-    """Results from a position on, as far as they are known here."""
+    """Consecutive results from a position on, as far as they are cached."""
 
-    #: How many items the job has; 0 is not known.
+    #: How many items the job has; 0 if that is unknown.
     total: int = 0
     results: tuple[ItemResult, ...] = ()
-    #: Whether they are all that a page can hold.
+    #: Whether no more results fit into the page, or the job has no more.
     enough: bool = False
 
 
 class ListedResults:
-    """Keeps results by their positions, which never change.
-
-    Load pattern: clients read steps again and again, from any position, at
-    any entry. Each page would come from the owner, mostly across the border
-    of a zone: such reads are two thirds of all bytes between zones. A result
-    that was seen here once is the same for good, so only what is new has to
-    be asked for.
+    """Cache of results by position; a listed result never changes.
+
+    Load pattern: clients read jobs again and again, from any position, at any
+    entry. Without a cache each page would come from the owner, mostly across
+    the border of an availability zone: such reads are two thirds of all bytes
+    between zones. A result that was read once is valid for good, so only new
+    results are requested from the owner. The job whose latest page was
+    added first is evicted first.
+
+    Parameters
+    ----------
+    most_bytes
+        Upper bound of the cached text, in bytes. The most recent job may
+        exceed it alone.
     """
 
-    def __init__(self, most_bytes: int = _MOST_BYTES) -> None:
-        self._most_bytes = most_bytes
-        #: The one that was read last stands last.
-        self._jobs: dict[JobId, _Job] = {}
+    def __init__(self, most_bytes: int = _MAX_BYTES) -> None:
+        self._max_bytes = most_bytes
+        #: In the order of their latest pages, the most recent one last.
+        self._jobs: dict[JobId, _CachedJob] = {}
         self._size_bytes = 0
 
     def take(self, job: JobId, after: int, page: ResultPage) -> None:
-        """Keep a page that the owner has shown."""
-        known = self._jobs.pop(job, None) or _Job(page.total)
+        """Add a page of results that a job's owner has sent."""
+        known = self._jobs.pop(job, None) or _CachedJob(page.total)
         self._jobs[job] = known
         for position, result in enumerate(page.results, start=after):
             if position not in known.by_position:
                 known.by_position[position] = result
-                self._grow(known, len(result.text.encode()))
-        while self._size_bytes > self._most_bytes and len(self._jobs) > 1:
-            self._forget(next(iter(self._jobs)))
+                self._add_size(known, len(result.text.encode()))
+        while self._size_bytes > self._max_bytes and len(self._jobs) > 1:
+            self._evict(next(iter(self._jobs)))
 
     def shown(self, job: JobId, after: int, limit_bytes: int) -> Shown:
-        """Return results that stand behind each other from a position on.
+        """Return consecutive results from a position on.
 
         Parameters
         ----------
         job
-            Whose results.
+            The job.
         after
             The first position, from zero.
         limit_bytes
-            How much text they may have, if it is more than one result.
+            The most text of the page, unless it has a single result.
         """
         known = self._jobs.get(job)
         if known is None:
             return Shown()
-        run = tuple(_run(known, after))
-        fits = tuple(that_fit(run, limit_bytes))
-        ends = after + len(fits) >= known.total
-        return Shown(known.total, fits, ends or len(fits) < len(run))
-
-    def _grow(self, job: _Job, size_bytes: int) -> None:
+        consecutive = tuple(_consecutive_results(known, after))
+        fitting = tuple(that_fit(consecutive, limit_bytes))
+        reaches_end = after + len(fitting) >= known.total
+        return Shown(
+            known.total, fitting, reaches_end or len(fitting) < len(consecutive)
+        )
+
+    def _add_size(self, job: _CachedJob, size_bytes: int) -> None:
         job.size_bytes += size_bytes
         self._size_bytes += size_bytes
 
-    def _forget(self, job: JobId) -> None:
+    def _evict(self, job: JobId) -> None:
         self._size_bytes -= self._jobs.pop(job).size_bytes
 
 
-def _run(job: _Job, after: int) -> Iterator[ItemResult]:
+def _consecutive_results(job: _CachedJob, after: int) -> Iterator[ItemResult]:
     for position in itertools.count(after):
         result = job.by_position.get(position)
         if result is None:
--- a/bergamotdoor/steps/other_entries.py
+++ b/bergamotdoor/steps/other_entries.py
@@ -1,4 +1,4 @@
-"""Tells other entries of jobs."""
+"""Messages to other entries about jobs and loaded weights."""
 
 from __future__ import annotations
 
@@ -31,37 +31,41 @@
     from bergamotdoor.tasks import Tasks
     from bergamotdoor.types import JobId, ModelId, ZoneId
 
-#: How often the owner of an ended job is told before it is left to find
-#: out by itself, and the pause between.
-_TELL_ATTEMPTS: Final = 5
-_TELL_PAUSE_MS: Final = 300
-_TELL_PAUSE: Final = dt.timedelta(milliseconds=_TELL_PAUSE_MS)
-_MS: Final = dt.timedelta(milliseconds=1)
+#: How often the end of a job is sent to its owner, and the pause between two
+#: attempts. After the last one the owner finds the end in the store.
+_END_NOTICE_ATTEMPTS: Final = 5
+_END_NOTICE_PAUSE_MS: Final = 300
+_END_NOTICE_PAUSE: Final = dt.timedelta(milliseconds=_END_NOTICE_PAUSE_MS)
+_MILLISECOND: Final = dt.timedelta(milliseconds=1)
 
-#: Loading a job from the store takes some calls of milliseconds.
-_HAND_ON_WAIT: Final = dt.timedelta(seconds=1)
+#: How long an entry may take to accept a handoff. Loading a job from the
+#: store takes a few calls of milliseconds each.
+_OFFER_TIMEOUT: Final = dt.timedelta(seconds=1)
 
-#: Entries that a job is offered to; the next reader's takes it otherwise.
-_MOST_ASKED: Final = 3
+#: The most entries to which a handoff is offered. If none accepts the job,
+#: the entry of the next reader takes it over.
+_MAX_OFFERS: Final = 3
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class OtherEntries:
-    """Tells other entries of jobs, behind the answer to the caller.
+    """Client that sends other entries messages about jobs.
+
+    Most messages are sent in the background, after the caller's response.
 
     Parameters
     ----------
     finder
-        Knows the owners.
+        Cache of job owners.
     peers
-        Reaches other entries.
+        Client for calls to other entries.
     directory
-        Which entries there are.
+        Addresses of the other entries.
     tasks
-        Runs what goes on behind the answer.
+        Background tasks of the process.
     clock
-        For the pauses.
+        Clock for the pauses between attempts.
     zone
         The availability zone of this process.
     """
@@ -83,76 +87,82 @@
         self._clock = clock
 
     def hand_over(self, found: FoundJob, spec: JobSpec) -> None:
-        """Have a job's home run it, or run it here."""
-        self._tasks.start(self._hand_over(found, spec))
+        """Send a new job to its home entry; take it over if that fails."""
+        self._tasks.start(self._send_to_home(found, spec))
 
     def see_run(self, found: FoundJob, spec: JobSpec) -> None:
-        """See to it that a job that was there before is run by somebody.
-
-        Failure: a trainer that had no answer hands its job in again, and
-        the job is taken for new. Symptom: an owner that still loads it gets
-        it without its results and begins all of it anew; readers are denied
-        positions they have read. Asked for a body, an owner loads what it
-        does not run yet, and one that is gone is replaced.
+        """Ensure that a job which was submitted before has a running owner.
+
+        Failure: a trainer that received no response submits its job again,
+        and the job is treated as new. Symptom: an owner that is still loading
+        the job receives it without its results and starts all items again,
+        and readers are denied positions that they have read. So the owner is
+        only asked for an item's body: an owner loads a job of its own that it
+        does not run yet, and an owner that is gone is replaced.
         """
         if spec.items and not found.status.ended:
-            self._tasks.start(self._see_run(found, spec))
+            self._tasks.start(self._ensure_running(found, spec))
 
     def tell_owner(self, found: FoundJob, model: ModelId) -> None:
-        """Have every entry know whom to ask for a job's results.
+        """Send every entry the address of a job's owner.
 
-        Readers come to any entry. Each would ask the store once a job:
-        800 calls in half a minute of four trainers before 27 entries.
+        Readers connect to any entry. Without this message each entry would
+        ask the store once a job: 800 calls in half a minute with four
+        trainers and 27 entries.
         """
         message = JobOwned(found.job, found.record, model)
         for entry in self.directory.entries.values():
-            self._tasks.start(self._tell(entry.address, message))
+            self._tasks.start(self._send(entry.address, message))
 
     def pass_on(self, message: EngineLoaded) -> None:
-        """Tell the entry that runs a model's jobs of its engine's weights."""
+        """Forward an engine's loaded version to the owner of the model's jobs.
+
+        A message that was forwarded before is dropped.
+        """
         owner = self._finder.owner_of(message.model)
         if owner is not None and not message.passed_on:
-            told = msgspec.structs.replace(message, passed_on=True)
-            self._tasks.start(self._tell(owner, told))
+            forwarded = msgspec.structs.replace(message, passed_on=True)
+            self._tasks.start(self._send(owner, forwarded))
 
     async def hand_on(self, message: TakeOver) -> None:
-        """Have another entry run a job of this one, which stops.
+        """Offer a job of this process, which stops, to other entries.
 
-        Entry after entry is asked: those that stop as well take nothing.
+        The entries are asked one after the other until one accepts. Entries
+        that stop as well don't accept jobs.
         """
         entries = self.directory.entries
         order = home_order(message.spec.model, entries, self._zone)
-        for entry in order[:_MOST_ASKED]:
+        for entry in order[:_MAX_OFFERS]:
             address = entries[entry].address
-            began = self._clock.elapsed()
-            reply = await self._peers.ask(address, message, _HAND_ON_WAIT)
-            taken = isinstance(reply, Done)
+            started_at = self._clock.elapsed()
+            reply = await self._peers.ask(address, message, _OFFER_TIMEOUT)
+            accepted = isinstance(reply, Done)
             _log.info(
                 'gateway: job %s handed on to %s: %s after %d ms',
                 message.spec.job,
                 entry,
-                'taken' if taken else 'not taken',
-                (self._clock.elapsed() - began) // _MS,
+                'taken' if accepted else 'not taken',
+                (self._clock.elapsed() - started_at) // _MILLISECOND,
             )
-            if taken:
+            if accepted:
                 return
 
     def tell_of_end(self, job: JobId) -> None:
-        """Have a job's owner stop."""
-        self._tasks.start(self._tell_of_end(job))
+        """Notify a job's owner that the job was ended."""
+        self._tasks.start(self._notify_of_end(job))
 
-    async def _tell(
+    async def _send(
         self, address: Address, message: JobOwned | EngineLoaded
     ) -> None:
         await self._peers.ask(address, message)
 
-    async def _hand_over(self, found: FoundJob, spec: JobSpec) -> None:
+    async def _send_to_home(self, found: FoundJob, spec: JobSpec) -> None:
         message = AdoptJob(found.record, found.revision, spec)
         reply = await self._peers.ask(found.record.address, message)
         if not isinstance(reply, Done):
             await self._finder.take_over(found.job, found.record)
 
-    async def _see_run(self, found: FoundJob, spec: JobSpec) -> None:
+    async def _ensure_running(self, found: FoundJob, spec: JobSpec) -> None:
         if self._finder.is_own(found.record):
             await self._finder.resume(found.job)
             return
@@ -161,12 +171,14 @@
         if reply is None:
             await self._finder.take_over(found.job, found.record)
 
-    async def _tell_of_end(self, job: JobId) -> None:
-        for _ in range(_TELL_ATTEMPTS):
+    async def _notify_of_end(self, job: JobId) -> None:
+        for _ in range(_END_NOTICE_ATTEMPTS):
             record = await self._finder.record(job)
             if not isinstance(record, Outcome):
                 reply = await self._peers.ask(record.address, JobEnded(job))
                 if isinstance(reply, Done):
                     return
-            await self._clock.sleep(_TELL_PAUSE)
-        _log.warning('gateway: job %s: its owner was not told of its end', job)
+            await self._clock.sleep(_END_NOTICE_PAUSE)
+        _log.warning(
+            'gateway: job %s: its owner could not be notified of its end', job
+        )
--- a/bergamotdoor/steps/owner.py
+++ b/bergamotdoor/steps/owner.py
@@ -1,4 +1,4 @@
-"""Runs the batch jobs that this process owns."""
+"""Runs the batch jobs that this process owns, until they end."""
 
 from __future__ import annotations
 
@@ -26,32 +26,35 @@
     from bergamotdoor.objects.job_store import JobStore
     from bergamotdoor.types import JobId
 
-#: How often items that wait for a rest to end are looked at, and items
-#: that run.
-_TICK_S: Final = 0.1
-#: How often the owner looks whether its jobs were ended or taken over by a
-#: process that could not tell it. A stale list costs a tenth of a call.
-_SWEEP_S: Final = 2
-#: A job may come in by a route that this process does not know yet; after
-#: this every manifest is in force everywhere, so the route is gone.
-_ROUTE_PATIENCE: Final = dt.timedelta(seconds=10)
-#: Far more ends than come while a job is loaded, which takes seconds.
-_MOST_TOLD: Final = 256
+#: Interval at which running items are checked, and items that wait for the
+#: end of a pause or of a quarantine.
+_TICK_INTERVAL_S: Final = 0.1
+#: Interval at which the owner checks in the store whether its jobs were ended
+#: or taken over by a process that could not notify it. A stale list costs a
+#: tenth of a store call.
+_STORE_CHECK_INTERVAL_S: Final = 2
+#: How long a job may have no route. It may have been submitted by a route
+#: that this process does not know yet. After this time every manifest is in
+#: force at every entry, so the route was removed.
+_ROUTE_TIMEOUT: Final = dt.timedelta(seconds=10)
+#: The most remembered ends of jobs that this process did not have. Loading a
+#: job takes seconds, and far fewer jobs end in that time.
+_MAX_EARLY_ENDS: Final = 256
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class JobOwner:
-    """Owns jobs, starts their items and lists their results.
+    """The jobs of this process: starts their items and lists their results.
 
     Parameters
     ----------
     context
         Services of the process.
     store
-        Where jobs are kept.
+        Store of the jobs.
     manifests
-        The routes.
+        The current manifest, with the routes of the jobs.
     """
 
     def __init__(
@@ -63,72 +66,84 @@
         self._dispatcher = Dispatcher(context, self.poke)
         self._scorer = Scorer(context, manifests, self.poke)
         self._runs: dict[JobId, JobRun] = {}
-        #: Ended jobs that this process did not have when it was told.
-        self._told_ended: tuple[JobId, ...] = ()
+        #: Jobs whose end was reported while this process did not have them.
+        self._early_ends: tuple[JobId, ...] = ()
         self._tasks = Tasks()
-        #: Whether this process takes no more jobs.
+        #: Whether this process accepts no more jobs.
         self.stopping = False
         self._wake = asyncio.Event()
 
     def start(self) -> None:
-        """Begin to work."""
-        self._tasks.start(self._pump())
-        self._tasks.start(self._sweep())
+        """Start the background tasks."""
+        self._tasks.start(self._run_items())
+        self._tasks.start(self._check_store())
 
     async def stop(self) -> None:
-        """Stop all work at once; the next owner goes on."""
+        """Stop all items at once, and wait for the background tasks."""
         for run in self._runs.values():
             run.stop()
         await self._tasks.stop()
 
     @property
     def takes_jobs(self) -> bool:
-        """Whether this process can run a job that is new.
+        """Whether this process can run a new job.
 
-        Failure: a process that has just started reaches no store, and is
-        given a job. Symptom: it can start nothing, and its readers wait
-        for it; the entry that has the job runs it otherwise.
+        Failure: a process that has just started can't reach the store, and
+        receives a job. Symptom: without a manifest it can't start any item,
+        and the job's readers wait for it. If it rejects the job, the entry
+        that sent it runs it.
         """
         return not self.stopping and self._manifests.manifest is not None
 
     def take_no_more(self) -> tuple[JobRun, ...]:
-        """Become the owner of nothing more; return what has open items."""
+        """Accept no more jobs; return those with open items."""
         self.stopping = True
         return tuple(run for run in self._runs.values() if run.active)
 
     def forget(self, job: JobId) -> None:
-        """Leave a job to its next owner."""
+        """Drop a job that another process owns from now on."""
         self._runs.pop(job, None)
 
     def poke(self) -> None:
-        """Look for work again: upstreams or routes have changed."""
+        """Start waiting items now, since slots or routes may have changed."""
         self._wake.set()
 
     def get(self, job: JobId) -> JobRun | None:
-        """Return a job that this process owns, or owned until its end."""
+        """Return a job that this process owns, or owned until it ended."""
         return self._runs.get(job)
 
     def runs(self) -> tuple[JobRun, ...]:
-        """Return all jobs that are kept here."""
+        """Return all jobs of this process, ended ones included."""
         return tuple(self._runs.values())
 
     def adopt(self, found: FoundJob, loaded: LoadedJob) -> JobRun:
-        """Run a job whose record names this process, or serve an ended one."""
+        """Run a job whose record names this process, or serve an ended one.
+
+        Parameters
+        ----------
+        found
+            The job's record.
+        loaded
+            The job's body, its results so far and saved partial transcripts.
+        """
         known = self._runs.get(found.job)
         if known is not None and known.state is RunState.RUNNING:
-            # Perhaps handed back before its loss was noticed.
+            # Another process may have taken the job over and handed it back
+            # before this process noticed.
             known.take_record(found)
             return known
         now = self._context.clock.elapsed()
         route = self._manifests.batch_route(loaded.spec)
-        patience = _ROUTE_PATIENCE if route is None else route.due
+        time_allowed = _ROUTE_TIMEOUT if route is None else route.due
         earlier = tuple(one.spec for one in self._runs.values())
-        run = JobRun(self._context, self._store, found, loaded, now + patience)
+        run = JobRun(
+            self._context, self._store, found, loaded, now + time_allowed
+        )
         self._runs[found.job] = run
         self._context.metrics.count(Counted.JOB_OWNED)
         if found.record.term > 1:
             self._context.metrics.count(Counted.JOB_TAKEN_OVER)
-        if found.status.ended or found.job in self._told_ended:
+        if found.status.ended or found.job in self._early_ends:
             run.end()
         else:
             writer = ResultWriter(
@@ -149,28 +164,34 @@
         return run
 
     def end(self, job: JobId) -> None:
-        """Stop a job's items."""
+        """Stop the items of a job that was ended."""
         run = self._runs.get(job)
         if run is None:
-            # Told while it is loaded: it was found before its end.
-            self._told_ended = (*self._told_ended[1 - _MOST_TOLD :], job)
+            # The end arrived while the job is loaded from the store, and its
+            # record may have been read before the end.
+            self._early_ends = (
+                *self._early_ends[1 - _MAX_EARLY_ENDS :],
+                job,
+            )
         elif not run.ended:
             run.end()
             run.note_end()
 
-    async def _pump(self) -> None:
+    async def _run_items(self) -> None:
+        """Start and move items on each wake-up, and at least on each tick."""
         while True:
             self._wake.clear()
             self._start_items()
             try:
                 async with asyncio.timeout(
-                    _TICK_S if _any_active(self._runs) else None
+                    _TICK_INTERVAL_S if _any_active(self._runs) else None
                 ):
                     await self._wake.wait()
             except TimeoutError:
                 self._tick()
 
     def _start_items(self) -> None:
+        """Start items and score calls of all jobs, the earliest due first."""
         active = [run for run in self._runs.values() if run.active]
         active.sort(key=_due_at)
         self._scorer.start_calls(active)
@@ -178,36 +199,41 @@
             route = self._manifests.batch_route(run.spec)
             if route is not None:
                 run.items.board.max_failures = route.max_attempts
-                # A slot that comes free at a fast engine is for an item that
-                # has outgrown its hint at a slow one: the step waits for it
-                # longer than for one that has not begun.
+                # Moves come first: a free slot at a fast engine is for an
+                # item that has outgrown its length hint at a slow one. The
+                # job waits longer for that item than for one that has not
+                # started.
                 self._dispatcher.move_items(run, route)
                 self._dispatcher.start_items(run, route)
 
     def _tick(self) -> None:
+        """Move items, and end jobs that are overdue or have no route."""
         now = self._context.clock.elapsed()
         knows_routes = self._manifests.manifest is not None
         for run in filter(_is_active, tuple(self._runs.values())):
             route = self._manifests.batch_route(run.spec)
-            routeless = run.routeless(route)
+            time_without_route = run.routeless(route)
             if route is not None:
                 self._dispatcher.move_items(run, route)
-                _give_up_late(run, route.give_up, now)
-            elif knows_routes and routeless > _ROUTE_PATIENCE:
-                _log.info('gateway: job %s: its route is gone', run.spec.job)
+                _end_if_overdue(run, route.give_up, now)
+            elif knows_routes and time_without_route > _ROUTE_TIMEOUT:
+                _log.info(
+                    'gateway: job %s: its route was removed', run.spec.job
+                )
                 run.give_up()
 
-    async def _sweep(self) -> None:
+    async def _check_store(self) -> None:
+        """Apply ends and takeovers that the store has, at an interval."""
         while True:
-            await asyncio.sleep(_SWEEP_S)
-            self._runs = dict(_kept(self._runs, self._context))
+            await asyncio.sleep(_STORE_CHECK_INTERVAL_S)
+            self._runs = dict(_retained(self._runs, self._context))
             if not _any_active(self._runs):
                 continue
             jobs = await self._store.all_jobs(stale=True)
             if not isinstance(jobs, Outcome):
-                self._take_sweep(jobs)
+                self._apply_stored_jobs(jobs)
 
-    def _take_sweep(self, jobs: tuple[FoundJob, ...]) -> None:
+    def _apply_stored_jobs(self, jobs: tuple[FoundJob, ...]) -> None:
         for found in jobs:
             run = self._runs.get(found.job)
             if run is None:
@@ -231,19 +257,27 @@
     return run.due_at
 
 
-def _give_up_late(
+def _end_if_overdue(
     run: JobRun, give_up: dt.timedelta | None, now: dt.timedelta
 ) -> None:
-    # Counted from this process's taking of the job, so never too early.
+    """Finish the open items of a job as lost, after its route's time limit.
+
+    The time counts from when this process became the owner, so it is never
+    shorter than the limit.
+    """
     if give_up is not None and now - run.began > give_up:
-        _log.info('gateway: job %s: given up after %s', run.spec.job, give_up)
+        _log.info(
+            'gateway: job %s: open items are lost after %s',
+            run.spec.job,
+            give_up,
+        )
         run.give_up()
 
 
-def _kept(
+def _retained(
     runs: dict[JobId, JobRun], context: Context
 ) -> Iterator[tuple[JobId, JobRun]]:
-    """Return the jobs that somebody may still ask for."""
+    """Return the jobs that clients may still read."""
     now = context.clock.elapsed()
     for job, run in runs.items():
         if not run.ended or now - run.began <= context.settings.retention:
--- a/bergamotdoor/steps/peer_service.py
+++ b/bergamotdoor/steps/peer_service.py
@@ -1,4 +1,4 @@
-"""Answers the other entries."""
+"""Handles the messages that other processes send to this entry."""
 
 from __future__ import annotations
 
@@ -40,26 +40,26 @@
     from bergamotdoor.steps.other_entries import OtherEntries
     from bergamotdoor.steps.owner import JobOwner
 
-_MS: Final = dt.timedelta(milliseconds=1)
+_MILLISECOND: Final = dt.timedelta(milliseconds=1)
 
 
 class PeerService:
-    """Handles messages of other processes.
+    """Service that answers messages of other processes.
 
     Parameters
     ----------
     owner
-        Runs this process's jobs.
+        The jobs that this process owns.
     finder
-        Knows the owners.
+        Cache of job owners.
     others
-        Told of what is not for this process.
+        Client that forwards messages to other entries.
     context
-        Whose fleet learns of loaded versions, and how fast its link is.
+        Services of the process, with the fleet and the link's bandwidth.
     direct
-        The store, reached from this VM only.
+        Client that calls the store from this VM only, not through others.
     news
-        Follows the store for other processes.
+        Watches of the store that this process shares with others.
     """
 
     def __init__(
@@ -79,15 +79,15 @@
         self._fleet = context.fleet
         self._strikes = context.strikes
         self._direct = direct
-        self._takers: dict[type[Any], Callable[[Any], None]] = {}
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {}
         self.register(AdoptJob, self._adopt)
         self.register(JobEnded, self._end)
-        self.register(JobOwned, self._remember)
-        self.register(EngineLoaded, self._loaded)
-        self.register(StrikesLearned, self._learn_strikes)
+        self.register(JobOwned, self._remember_owner)
+        self.register(EngineLoaded, self._record_load)
+        self.register(StrikesLearned, self._add_strikes)
 
     async def handle(self, message: PeerRequest) -> PeerReply:
-        """Answer one message."""
+        """Return the reply to a message."""
         if isinstance(message, StoreCall):
             return await relayed(self._direct, message)
         if isinstance(message, AdoptJob) and not self._owner.takes_jobs:
@@ -98,34 +98,44 @@
             return await self._take_over(message)
         if isinstance(message, (ReadBody, ReadResults)):
             return await self._read(message)
-        take = self._takers.get(type(message))
-        if take is not None:
-            take(message)
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            handler(message)
         return Done()
 
     def register(self, kind: type[Any], take: Callable[[Any], None]) -> None:
-        """Have a kind of messages that want no answer taken."""
-        self._takers[kind] = take
-
-    def _learn_strikes(self, message: StrikesLearned) -> None:
+        """Register the handler of messages whose reply is only ``Done``.
+
+        Parameters
+        ----------
+        kind
+            The class of the messages.
+        take
+            Function that is called with each message.
+        """
+        self._handlers[kind] = take
+
+    def _add_strikes(self, message: StrikesLearned) -> None:
         self._strikes.take(message)
 
     def _end(self, message: JobEnded) -> None:
         self._owner.end(message.job)
 
-    def _remember(self, message: JobOwned) -> None:
+    def _remember_owner(self, message: JobOwned) -> None:
         self._finder.remember(message.job, message.record, message.model)
 
-    def _loaded(self, message: EngineLoaded) -> None:
+    def _record_load(self, message: EngineLoaded) -> None:
         self._fleet.loaded(message.engine, message.model, message.version)
         self._owner.poke()
         self._others.pass_on(message)
 
     async def _read(self, message: ReadResults | ReadBody) -> PeerReply:
+        """Return a page or a body of a job, if this process owns the job."""
         run = self._owner.get(message.job)
         if run is None:
             if self._owner.stopping:
-                # It takes none back: whoever asks need not wait for that.
+                # A process that stops resumes no job, so the sender should
+                # take the job over at once.
                 return NotOwner()
             found = await self._finder.resume(message.job)
             if isinstance(found, Outcome):
@@ -134,7 +144,7 @@
         if isinstance(message, ReadBody):
             body = body_of(run, message.item)
             return ItemBody(None if isinstance(body, Outcome) else body)
-        wait = message.wait_ms * _MS
+        wait = message.wait_ms * _MILLISECOND
         page = await page_of(run, message.after, wait, self._page_bytes)
         return NotKnown() if isinstance(page, Outcome) else page
 
@@ -147,7 +157,7 @@
     def _adopt(self, message: AdoptJob) -> None:
         job = message.spec.job
         if not self._finder.is_newest(job, message.record):
-            # It came late: another entry has taken the job over meanwhile.
+            # The message arrived late. Another entry has taken the job over.
             return
         self._finder.remember(job, message.record)
         if self._owner.get(job) is None:
--- a/bergamotdoor/steps/result_writer.py
+++ b/bergamotdoor/steps/result_writer.py
@@ -1,4 +1,4 @@
-"""Stores the results of a job that this process runs."""
+"""Stores the results of a job that this process owns."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
     from bergamotdoor.steps.job_run import JobRun
     from bergamotdoor.types import GroupId
 
-#: Results that finish within this go into one record: each record costs a
-#: call of the store and reaches readers some milliseconds later.
+#: Results that finish within this time go into one record. Each record costs
+#: a call of the store and reaches readers some milliseconds later.
 _GATHER_MS: Final = 60
 GATHER: Final = dt.timedelta(milliseconds=_GATHER_MS)
-#: Room in an object of a megabyte, texts escaped.
+#: The most text in a record: with all escapes it fits into an object of the
+#: store, which may have a megabyte.
 RECORD_BYTES: Final = 400_000
 _NONCE_BITS: Final = 64
 _NO_GROUPS: Final[frozenset[GroupId]] = frozenset()
@@ -31,17 +32,17 @@
 
 
 class ResultWriter:
-    """Gives results their positions.
+    """Task that lists a job's results: stores them, which gives positions.
 
     Parameters
     ----------
     run
-        Whose results.
+        The job.
     context
-        The time, and chance, which tells this process's records from
-        others'.
+        Services of the process: its clock, and random numbers that identify
+        the records of this process.
     again
-        Groups of the job that came again from an earlier one.
+        Groups of the job that an earlier job had as well.
     """
 
     def __init__(
@@ -51,65 +52,69 @@
         again: frozenset[GroupId] = _NO_GROUPS,
     ) -> None:
         self._run = run
-        self._again = again
+        self._repeated_groups = again
         self._context = context
 
     async def run(self) -> None:
-        """Store results as groups become whole, until all are listed."""
+        """Store the results of complete groups until every item is listed."""
         run = self._run
         while not run.complete:
             await run.finished.wait()
-            began = self._context.clock.elapsed()
+            started_at = self._context.clock.elapsed()
             if run.state is not RunState.RUNNING:
                 return
             if run.items.board.open_items:
-                await self._hold()
+                await self._wait_for_batch()
             run.finished.clear()
             await self._store_finished()
-            self._log_listed(began)
+            self._log_listed(started_at)
 
-    async def _hold(self) -> None:
-        """Wait for what readers should get together with what is whole."""
+    async def _wait_for_batch(self) -> None:
+        """Wait for results that readers should get in the same page.
+
+        The wait ends when the results need not be held back any longer.
+        """
         run = self._run
         clock = self._context.clock
-        began = clock.elapsed()
+        started_at = clock.elapsed()
         held = dt.timedelta()
         await clock.sleep(GATHER)
         while holds(self._target, held, run.due_at - clock.elapsed()):
             await clock.sleep(GATHER)
             if run.state is not RunState.RUNNING:
                 return
-            held = clock.elapsed() - began
+            held = clock.elapsed() - started_at
 
     @property
     def _target(self) -> Target:
-        return target_of(self._run, self._again)
+        return target_of(self._run, self._repeated_groups)
 
-    def _log_listed(self, began: dt.timedelta) -> None:
+    def _log_listed(self, started_at: dt.timedelta) -> None:
         run = self._run
         _log.info(
             'gateway: job %s: %d results listed in %d ms, target %s',
             run.spec.job,
             len(run.ledger),
-            utils.to_ms(self._context.clock.elapsed() - began),
+            utils.to_ms(self._context.clock.elapsed() - started_at),
             'reached' if self._target.reached else 'not reached',
         )
 
     async def _store_finished(self) -> None:
-        """Store what is whole; tell readers once all of it is listed.
+        """Store finished results, then notify readers of all of them at once.
 
         Failure: results of some hundred kB go into several records, and the
-        first one wakes a reader. Symptom: it gets a part of what ends the
-        step, and the rest half a second later.
+        first record wakes a reader. Symptom: the reader gets a part of the
+        results that complete the training step, and the rest half a second
+        later.
         """
         run = self._run
         while run.items.board.has_finished:
             batch = run.items.board.take_finished(RECORD_BYTES)
-            await self._append(batch)
+            await self._list_batch(batch)
         run.announce()
 
-    async def _append(self, batch: tuple[ItemResult, ...]) -> None:
-        """List a batch behind whatever is listed already."""
+    async def _list_batch(self, batch: tuple[ItemResult, ...]) -> None:
+        """Append a batch to the ledger, after the records of other owners."""
         run = self._run
         while True:
             nonce = self._context.rng.getrandbits(_NONCE_BITS)
--- a/bergamotdoor/steps/scorer.py
+++ b/bergamotdoor/steps/scorer.py
@@ -1,4 +1,4 @@
-"""Has whole texts scored by the service that their trainer names."""
+"""Sends score calls for completed texts to the service the trainer names."""
 
 from __future__ import annotations
 
@@ -25,26 +25,27 @@
     from bergamotdoor.steps.job_run import JobRun
     from bergamotdoor.types import AccountId, ServiceId
 
-#: How long a score call may take with all its attempts, if its route allows
-#: as much: thirty times a usual answer. Another try is worth more than
-#: waiting for one whose upstreams stay silent.
-_CALL_TIME_S: Final = 1.5
-_CALL_TIME: Final = dt.timedelta(seconds=_CALL_TIME_S)
+#: The longest duration of a score call with all its attempts, unless its
+#: route allows less: thirty times a usual response. A retry is more useful than
+#: a longer wait for upstreams that send nothing.
+_CALL_TIMEOUT_S: Final = 1.5
+_CALL_TIMEOUT: Final = dt.timedelta(seconds=_CALL_TIMEOUT_S)
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class Scorer:
-    """Sends the score calls of all jobs of this process.
+    """Client that sends the score calls of all jobs of this process.
 
     Parameters
     ----------
     context
         Services of the process.
     manifests
-        The routes.
+        The current manifest, with the routes of the calls.
     poke
-        Called when a call ended: there is room for the next.
+        Callback without arguments. It is called after a call has ended, when
+        there is room for the next one.
     """
 
     def __init__(
@@ -55,53 +56,62 @@
     ) -> None:
         self._context = context
         self._manifests = manifests
-        self._poke = poke
+        self._on_call_end = poke
         self._forwarder = Forwarder(context)
-        #: Calls under way.
-        self._own: Counter[ServiceId] = Counter()
+        #: Calls in flight of this process, by service.
+        self._in_flight: Counter[ServiceId] = Counter()
 
     def start_calls(self, runs: Iterable[JobRun]) -> None:
-        """Send as many calls as there is room for; urgent jobs first."""
+        """Send calls while services have room.
+
+        Parameters
+        ----------
+        runs
+            The jobs, the most urgent first.
+        """
         for run in runs:
             if len(run.items.scores):
-                self._start_run(run)
+                self._start_job_calls(run)
 
-    def _start_run(self, run: JobRun) -> None:
+    def _start_job_calls(self, run: JobRun) -> None:
         now = self._context.clock.elapsed()
         for text in run.items.scores.ready(run.items.board.open_in_group, now):
-            route = self._route(text)
+            route = self._find_route(text)
             if route is not None:
-                self._start(run, text, route)
+                self._start_call(run, text, route)
 
-    def _start(self, run: JobRun, text: Unscored, route: Route) -> None:
+    def _start_call(self, run: JobRun, text: Unscored, route: Route) -> None:
         service = pick_service(route, self._context.rng.random())
-        if not self._room(service):
+        if not self._has_room(service):
             return
         text.running = True
-        self._own[service] += 1
-        task = asyncio.create_task(self._score(run, text, route))
+        self._in_flight[service] += 1
+        task = asyncio.create_task(self._send_call(run, text, route))
         run.take_scoring(task)
-        task.add_done_callback(lambda _: self._ended(service))
+        task.add_done_callback(lambda _: self._end_call(service))
 
-    def _route(self, text: Unscored) -> Route | None:
-        """Return the route of a call; None while the manifest has none.
+    def _find_route(self, text: Unscored) -> Route | None:
+        """Return the route of a call; ``None`` if the manifest has none.
 
-        It may come with the next manifest: a trainer can name a route that
-        is in force at other entries already.
+        The next manifest may have it: a trainer can name a route that is in
+        force at other entries already.
         """
         manifest = self._manifests.manifest
         if manifest is None:
             return None
         return manifest.match(text.call.host, text.call.path)
 
-    def _room(self, service: ServiceId) -> bool:
+    def _has_room(self, service: ServiceId) -> bool:
         upstreams = self._context.fleet.of_service(service)
         now = self._context.clock.elapsed()
-        own = self._own[service]
-        return score_room(upstreams, self._context.loads, own, now) > 0
+        in_flight = self._in_flight[service]
+        return score_room(upstreams, self._context.loads, in_flight, now) > 0
 
-    async def _score(self, run: JobRun, text: Unscored, route: Route) -> None:
-        call = self._call(text, route, run.spec.account)
+    async def _send_call(
+        self, run: JobRun, text: Unscored, route: Route
+    ) -> None:
+        """Send the score call of a text and record its outcome."""
+        call = self._build_call(text, route, run.spec.account)
         outcome = await self._forwarder.forward(call)
         score = _score_of(outcome)
         if score:
@@ -114,7 +124,7 @@
             self._context.clock.elapsed(),
         )
         _log.info(
-            'gateway: item %s of job %s has no score: %s, failed %d of %d',
+            'gateway: item %s of job %s has no score: %s, %d of %d failures',
             text.spec.item,
             run.spec.job,
             outcome.detail,
@@ -122,7 +132,9 @@
             route.max_attempts,
         )
 
-    def _call(self, text: Unscored, route: Route, account: AccountId) -> Call:
+    def _build_call(
+        self, text: Unscored, route: Route, account: AccountId
+    ) -> Call:
         now = self._context.clock.elapsed()
         fields = [
             ('host', text.call.host),
@@ -138,18 +150,18 @@
             body=text.call.body,
             route=route,
             rules=CallRules.of_score(
-                route, now + min(route.timeout, _CALL_TIME)
+                route, now + min(route.timeout, _CALL_TIMEOUT)
             ),
             began=now,
         )
 
-    def _ended(self, service: ServiceId) -> None:
-        self._own[service] -= 1
-        self._poke()
+    def _end_call(self, service: ServiceId) -> None:
+        self._in_flight[service] -= 1
+        self._on_call_end()
 
 
 def _score_of(outcome: Attempt) -> str:
-    """Return the proof of a good answer; empty if there is none."""
+    """Return the proof that an answer carries; empty if it is no success."""
     answer = outcome.answer
     if answer is None or answer.status >= HTTPStatus.MULTIPLE_CHOICES:
         return ''
--- a/bergamotdoor/steps/target.py
+++ b/bergamotdoor/steps/target.py
@@ -1,4 +1,4 @@
-"""How far a job that runs here is from what its trainer waits for."""
+"""How many groups the trainer of a running job still waits for."""
 
 from __future__ import annotations
 
@@ -17,7 +17,15 @@
 def groups_again(
     spec: JobSpec, earlier: Iterable[JobSpec]
 ) -> frozenset[GroupId]:
-    """Return the groups of a job that jobs before it had as well."""
+    """Return the groups of a job that an earlier job of its model had too.
+
+    Parameters
+    ----------
+    spec
+        The job.
+    earlier
+        Jobs that were submitted before it; those of other models are ignored.
+    """
     before = {
         item.group
         for one in earlier
@@ -28,15 +36,16 @@
 
 
 def target_of(run: JobRun, again: frozenset[GroupId]) -> Target:
-    """Return what a job's trainer waits for yet.
+    """Return the target of a job, and how many groups are missing from it.
 
     Parameters
     ----------
     run
         The job.
     again
-        Its groups that came again, see ``groups_again``. The trainer waits
-        for each of them; of the others any will do.
+        Groups of the job that an earlier job had too, see ``groups_again``.
+        The trainer waits for each of these groups. For the rest of the target
+        it waits for any of the other groups.
     """
     open_groups = run.items.board.open_groups
     others = {item.group for item in run.spec.items} - again
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -118,8 +118,8 @@
     Mutation(
         'what is listed is left out of each record',
         'steps/ledger_sync.py',
-        'left = tuple(self._ledger.unlisted(batch))',
-        'left = batch',
+        'unlisted = tuple(self._ledger.unlisted(batch))',
+        'unlisted = batch',
         'jobs_positions',
     ),
     Mutation(
@@ -148,7 +148,7 @@
     Mutation(
         'a reader is told that there is nothing only by a proven ledger',
         'steps/jobs_desk.py',
-        '    waiting = run.wait_beyond(after, last.total_seconds())\n',
+        '    waiting = run.wait_beyond(after, final_wait.total_seconds())\n',
         '    return True\n',
         _MODEL,
     ),
@@ -169,8 +169,8 @@
     Mutation(
         'nothing under the next number proves a whole ledger',
         'steps/jobs_desk.py',
-        'known = await _proven(run, after, last)',
-        'known = True',
+        'is_proven = await _check_store(run, after, final_wait)',
+        'is_proven = True',
         'gateway_jobs',
     ),
     Mutation(
@@ -316,7 +316,7 @@
     Mutation(
         'score calls end with their job',
         'steps/job_run.py',
-        '        for task in self._scoring:\n            task.cancel()\n',
+        '        for task in self._score_tasks:\n            task.cancel()\n',
         '',
         _SCORING,
     ),
@@ -467,8 +467,8 @@
     Mutation(
         'items that ask for the same are one request',
         'steps/item_request.py',
-        'asked = prompt.encode() if prompt else spec.body',
-        'asked = spec.body',
+        'content = prompt.encode() if prompt else spec.body',
+        'content = spec.body',
         'steps_crashes',
     ),
     Mutation(
