--- a/features/gateway_series.feature
+++ b/features/gateway_series.feature
@@ -1,11 +1,12 @@
-Feature: entries that stop, die and start in quick series
+Feature: entries that stop, crash and start in quick succession
 
   Scenario Outline: nothing that was accepted is denied in a series of stops
     Four of five entries are stopped or killed one after the other and start
-    again, while the store is slow. Readers ask all entries for bodies and
-    positions, and the job is handed in again and again. Bodies were denied
-    while an owner handed its job over (seeds 111 and 114), and positions
-    that had been read by owners which took the job for new (101, 113, 121).
+    again, while the store is slow. Readers request bodies and positions from
+    all entries, and the job is submitted again and again. Guards against
+    bodies that were denied while an owner handed off its job (seeds 111 and
+    114), and positions that were read before and denied by owners which
+    treated the job as new (101, 113, 121).
 
     Given a series of stops of seed <seed>
     Then no body of an open item and no position that was read is denied
--- a/features/steps/gateway_again_steps.py
+++ b/features/steps/gateway_again_steps.py
@@ -1,4 +1,4 @@
-"""Steps for jobs that come to an owner once more, or late."""
+"""Steps for jobs that reach an owner a second time, or late."""
 
 from __future__ import annotations
 
@@ -23,24 +23,27 @@
 )
 from lab.site import Site, play
 
-#: Items of the first group, which is listed first.
-_LISTED = (f'{JOB}.0.0', f'{JOB}.0.1')
+#: Items of the first group, which is listed before the others.
+_LISTED_ITEMS = (f'{JOB}.0.0', f'{JOB}.0.1')
 
 
-async def first_group_read(site: Site, entry: str) -> None:
-    """Wait until the first two positions were read."""
+async def read_first_group(site: Site, entry: str) -> None:
+    """Read the first two positions; wait until they are listed."""
     page = await site.results(entry, JOB)
-    assert len(page['results']) == len(_LISTED), page
+    assert len(page['results']) == len(_LISTED_ITEMS), page
 
 
-async def second_position(site: Site, entry: str) -> Any:
-    """Ask for the second position without a wait."""
+async def read_second_position(site: Site, entry: str) -> Any:
+    """Read from the second position without a wait.
+
+    Return the results, or the status if it is not 200.
+    """
     reply = await site.ask(entry, 'GET', f'/-/lots/{JOB}?after=1')
     assert reply is not None
     return reply.json['results'] if reply.status == 200 else reply.status
 
 
-@given('a site whose owner starts again and gets an ended job once more')
+@given('a site whose owner restarts and receives an ended job again')
 def ended_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
@@ -62,19 +65,19 @@
     play(scene)
 
 
-@then('the job is taken and no engine works on its items')
-def taken_and_idle(context: Any) -> None:
+@then('the job is accepted and no engine works on its items')
+def accepted_and_idle(context: Any) -> None:
     assert context.again.status == 202, context.again.status
     assert not context.running, context.running
 
 
-@given('a site whose owner starts again and gets a running job once more')
+@given('a site whose owner restarts and receives a running job again')
 def running_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         await handed_in(site, list(SHORT_AND_LONG))
         owner = owner_of(site)
-        await first_group_read(site, owner)
+        await read_first_group(site, owner)
         await asyncio.sleep(1)
         await site.kill(owner)
         site.store.list_s = 1.4
@@ -86,35 +89,35 @@
         assert again.status == 202, again.status
         await asyncio.sleep(0.1)
         context.pages = [
-            await second_position(site, entry) for entry in (owner, second)
+            await read_second_position(site, entry) for entry in (owner, second)
         ]
         await asyncio.sleep(2)
-        context.runs = [len(starts(site, item)) for item in _LISTED]
+        context.runs = [len(starts(site, item)) for item in _LISTED_ITEMS]
 
     play(scene)
 
 
-@given('a site whose only entry gets its job once more while it stops')
+@given('a site whose only entry receives its job again while it stops')
 def stopping_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=1)
         await handed_in(site, list(SHORT_AND_LONG))
-        await first_group_read(site, 'entry-0')
+        await read_first_group(site, 'entry-0')
         await asyncio.sleep(1)
         stopping = asyncio.create_task(site.entries.pop('entry-0').stop())
         await asyncio.sleep(0.1)
         again = await site.submit('entry-0', JOB, list(SHORT_AND_LONG))
         assert again is not None
         assert again.status == 202, again.status
-        context.pages = [await second_position(site, 'entry-0')]
+        context.pages = [await read_second_position(site, 'entry-0')]
         await stopping
-        context.runs = [len(starts(site, item)) for item in _LISTED]
+        context.runs = [len(starts(site, item)) for item in _LISTED_ITEMS]
 
     play(scene)
 
 
-@then('the second position is shown or not known, at every entry')
-def not_hidden(context: Any) -> None:
+@then('each entry returns the second result, or 503')
+def second_not_denied(context: Any) -> None:
     for page in context.pages:
         assert page == 503 or len(page) == 1, context.pages
 
@@ -133,10 +136,10 @@
         first = owner_of(site)
         second = other(site, first)
         site.store.list_s = late
-        taking = asyncio.create_task(taken_over_by(site, second))
-        await first_group_read(site, first)
-        await taking
-        context.pages = [await second_position(site, second)]
+        takeover = asyncio.create_task(taken_over_by(site, second))
+        await read_first_group(site, first)
+        await takeover
+        context.pages = [await read_second_position(site, second)]
 
     play(scene)
 
@@ -150,16 +153,16 @@
         run = site.entries[first]._parts.owner.get(JobId(JOB))
         assert run is not None
         message = AdoptJob(run.found.record, run.found.revision, run.spec)
-        await first_group_read(site, first)
+        await read_first_group(site, first)
         second = other(site, first)
         await taken_over_by(site, second)
-        # Started anew it has not heard of the job, as one that stood still.
+        # A restarted entry does not know the job, like one that was paused.
         await site.kill(first)
         await site.add_entry(first)
         await asyncio.sleep(2)
         service = site.entries[first]._parts.peer_service
         await service.handle(message)
-        context.pages = [await second_position(site, first)]
+        context.pages = [await read_second_position(site, first)]
 
     play(scene)
 
--- a/features/steps/gateway_items_steps.py
+++ b/features/steps/gateway_items_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the items of batch jobs at engines."""
+"""Steps for the runs of batch jobs' items at engines."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @given('a site whose engines are {mode} for a job of groups {groups}')
-def bad_engines(context: Any, mode: str, groups: str) -> None:
+def failing_engines(context: Any, mode: str, groups: str) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         for broken in site.engines.values():
@@ -38,7 +38,7 @@
 
 
 @then("the job's items are listed as lost after at most {runs:d} runs each")
-def lost(context: Any, runs: int) -> None:
+def lost_after_runs(context: Any, runs: int) -> None:
     states = [result['state'] for result in context.results]
     assert states == ['lost', 'lost'], context.results
     assert max(context.runs.values()) <= runs, context.runs
@@ -63,19 +63,19 @@
 
 
 @then('every item of the job is listed whole')
-def every_whole(context: Any) -> None:
+def all_complete(context: Any) -> None:
     check_whole(
         context.results, context.groups, len(lengths_of(context.groups))
     )
 
 
 @then('a run began behind event {event:d}')
-def began_behind(context: Any, event: int) -> None:
+def run_continued(context: Any, event: int) -> None:
     assert event in context.begun, context.begun
 
 
 @given('a site whose first engine stands still after {after:f} s')
-def stands_still(context: Any, after: float) -> None:
+def engine_stalls(context: Any, after: float) -> None:
     context.groups = [[40, 40], [40, 40]]
 
     async def scene(site: Site) -> None:
@@ -89,8 +89,8 @@
 
 
 @then('every item of the job is listed whole within 4 s')
-def within(context: Any) -> None:
-    every_whole(context)
+def listed_in_time(context: Any) -> None:
+    all_complete(context)
 
 
 @given('a site whose first engine has old weights')
@@ -108,10 +108,11 @@
     play(scene)
 
 
-async def until_listed(context: Any, site: Site) -> None:
-    began = site.clock.elapsed()
+async def read_to_end(context: Any, site: Site) -> None:
+    """Read all results, and record them and the time that it took."""
+    started_at = site.clock.elapsed()
     context.results = await site.all_results('entry-0', JOB, within_s=100)
-    context.took_s = (site.clock.elapsed() - began).total_seconds()
+    context.took_s = (site.clock.elapsed() - started_at).total_seconds()
 
 
 @given('a site whose engines hang and whose route gives up after 3 s')
@@ -122,7 +123,7 @@
         for engine in site.engines.values():
             engine.mode = UpstreamMode.DARK
         await handed_in(site, [[3, 3], [3, 3]])
-        await until_listed(context, site)
+        await read_to_end(context, site)
 
     play(scene)
 
@@ -135,7 +136,7 @@
             engine.mode = UpstreamMode.DARK
         await handed_in(site, [[3, 3], [3, 3]])
         site.put_manifest(routes=site.routes[1:])
-        await until_listed(context, site)
+        await read_to_end(context, site)
 
     play(scene)
 
@@ -149,7 +150,7 @@
 
 
 @given('a site whose first engine is behind its registration')
-def behind(context: Any) -> None:
+def outdated_engine(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         for engine in site.engines.values():
@@ -157,26 +158,26 @@
             site.store.put('servers', engine.name, engine.registration())
         site.engines['engine-0'].version = 1
         await asyncio.sleep(1)
-        began = site.clock.elapsed()
+        started_at = site.clock.elapsed()
         await handed_in(site, [[50, 50], [50, 50]], least=2)
         context.results = await site.all_results('entry-0', JOB)
-        context.took_s = (site.clock.elapsed() - began).total_seconds()
+        context.took_s = (site.clock.elapsed() - started_at).total_seconds()
 
     play(scene)
 
 
 @then('the results were there after less than {most_s:g} s')
-def soon(context: Any, most_s: float) -> None:
+def listed_soon(context: Any, most_s: float) -> None:
     assert context.took_s < most_s, context.took_s
 
 
 @then("the first engine gets none of the job's items")
-def none_there(context: Any) -> None:
+def no_items_there(context: Any) -> None:
     assert not context.old_engine, context.old_engine
 
 
 @then('every result names the newer version only')
-def newer(context: Any) -> None:
+def newer_version(context: Any) -> None:
     versions = [result['versions'] for result in context.results]
     assert len(versions) == 4
     assert all(found == [2] for found in versions), versions
--- a/features/steps/gateway_owners_steps.py
+++ b/features/steps/gateway_owners_steps.py
@@ -1,4 +1,4 @@
-"""Steps for owners of batch jobs that stop, die or change."""
+"""Steps for owners of batch jobs that stop, crash or change."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 @then('the long item was not generated from its beginning again')
-def went_on(context: Any) -> None:
+def long_item_continued(context: Any) -> None:
     numbers = [
         int(headers.get('last-event-id', '0'))
         for headers in context.long_starts
@@ -67,13 +67,13 @@
 
     async def scene(site: Site) -> None:
         await site.start()
-        began = site.clock.elapsed()
+        started_at = site.clock.elapsed()
         await handed_in(site, context.groups)
         await asyncio.sleep(after)
         owner = owner_of(site)
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
         context.results = await site.all_results(other(site, owner), JOB)
-        context.took = (site.clock.elapsed() - began).total_seconds()
+        context.took_s = (site.clock.elapsed() - started_at).total_seconds()
         await stopping
         context.starts = {
             item: [
@@ -122,7 +122,7 @@
 
     async def scene(site: Site) -> None:
         await site.start(entries=3)
-        began = site.clock.elapsed()
+        started_at = site.clock.elapsed()
         await handed_in(site, context.groups)
         await asyncio.sleep(1.5)
         owner = owner_of(site)
@@ -135,8 +135,8 @@
         await site.results(owner, JOB)
         await site.results(order[0], JOB)
         context.results = await site.all_results(order[1], JOB)
-        context.took = (site.clock.elapsed() - began).total_seconds()
-        context.owner = owner_of(site) == order[1]
+        context.took_s = (site.clock.elapsed() - started_at).total_seconds()
+        context.third_is_owner = owner_of(site) == order[1]
         await asyncio.gather(*stopping)
 
     play(scene)
@@ -145,12 +145,12 @@
 @then('the third entry lists all {count:d} results, each once and whole')
 def third_lists(context: Any, count: int) -> None:
     check_whole(context.results, context.groups, count)
-    assert context.owner
+    assert context.third_is_owner
 
 
 @then('the step took at most {most:f} s')
 def step_took(context: Any, most: float) -> None:
-    assert context.took <= most, context.took
+    assert context.took_s <= most, context.took_s
 
 
 @then('nothing was generated twice')
@@ -161,7 +161,7 @@
 
 
 @given('a site whose owner is taken over while it still runs')
-def two_owners(context: Any) -> None:
+def taken_over_while_running(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         await handed_in(site, [[2, 30], [25, 20], [10, 15]])
@@ -174,14 +174,14 @@
     play(scene)
 
 
-class Idle:
-    """Starts and moves nothing."""
+class IdleDispatcher:
+    """Dispatcher that starts and moves no items."""
 
     def start_items(self, *_: Any) -> None:
-        """Nothing starts."""
+        """Start no item."""
 
     def move_items(self, *_: Any) -> None:
-        """Nothing moves."""
+        """Move no item."""
 
 
 @given('a site whose idle owner was taken over by one that listed 2 results')
@@ -191,7 +191,7 @@
         await handed_in(site, [[20, 20], [90, 90]])
         owner = owner_of(site)
         first = site.entries[owner]._parts.owner
-        first._dispatcher = cast('Any', Idle())
+        first._dispatcher = cast('Any', IdleDispatcher())
         run = first.get(JobId(JOB))
         assert run is not None
         for item in tuple(run.running.values()):
@@ -202,23 +202,23 @@
         page = await site.results(second, JOB)
         assert len(page['results']) == 2, page
         await asyncio.sleep(1)
-        context.second = await site.results(owner, JOB, 1)
+        context.second_page = await site.results(owner, JOB, 1)
         site.store.mode = StoreMode.BUSY
         await asyncio.sleep(1)
-        context.cut = await site.results(owner, JOB, 2)
+        context.cut_off_page = await site.results(owner, JOB, 2)
 
     play(scene)
 
 
 @then('the idle owner shows the second position as well')
-def second_position(context: Any) -> None:
-    assert isinstance(context.second, dict), context.second
-    assert len(context.second['results']) == 1, context.second
+def second_position_shown(context: Any) -> None:
+    assert isinstance(context.second_page, dict), context.second_page
+    assert len(context.second_page['results']) == 1, context.second_page
 
 
 @then('it cannot tell while it reaches no store')
-def cannot_tell(context: Any) -> None:
-    assert context.cut == 503, context.cut
+def not_known(context: Any) -> None:
+    assert context.cut_off_page == 503, context.cut_off_page
 
 
 @given('a site whose job is ended at the other entry after {after:f} s')
@@ -241,12 +241,12 @@
 
 
 @then('no engine works on its items half a second later')
-def idle(context: Any) -> None:
+def no_item_runs(context: Any) -> None:
     assert not context.running, context.running
 
 
 @then('the end is confirmed again, and what was listed stays listed')
-def end_again(context: Any) -> None:
+def end_confirmed_again(context: Any) -> None:
     assert [reply.status for reply in context.statuses] == [200, 200]
     before, after_end = context.pages
     assert len(before['results']) == 2, before
--- a/features/steps/gateway_scoring_steps.py
+++ b/features/steps/gateway_scoring_steps.py
@@ -27,9 +27,10 @@
 
     from bergamotdoor.http.messages import HttpRequest, HttpResponse
 
-SCORES = '/score/'
-#: How long a call keeps a slot of the scoring service.
-SCORE_S = 0.045
+#: The path of score calls.
+SCORE_PATH = '/score/'
+#: How long a score call occupies a slot of the service.
+SCORE_CALL_S = 0.045
 
 
 def score_calls(site: Site) -> list[Seen]:
@@ -37,7 +38,7 @@
         seen
         for service in site.services.values()
         for seen in service.seen
-        if seen.target == SCORES
+        if seen.target == SCORE_PATH
     ]
 
 
@@ -46,11 +47,11 @@
         service.mode = mode
 
 
-async def played(context: Any, site: Site, entry: str) -> None:
-    """Read a job to its end, and keep what its upstreams saw."""
-    began = site.clock.elapsed()
+async def read_to_end(context: Any, site: Site, entry: str) -> None:
+    """Read all results of a job, and record the requests of its upstreams."""
+    started_at = site.clock.elapsed()
     context.results = await site.all_results(entry, JOB)
-    context.took_s = (site.clock.elapsed() - began).total_seconds()
+    context.took_s = (site.clock.elapsed() - started_at).total_seconds()
     context.calls = score_calls(site)
     context.starts = {
         seen.request: [
@@ -68,8 +69,8 @@
 
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, context.groups, score_path=SCORES)
-        await played(context, site, 'entry-0')
+        await handed_in(site, context.groups, score_path=SCORE_PATH)
+        await read_to_end(context, site, 'entry-0')
         context.second = await site.all_results('entry-1', JOB)
         context.made_at_s = {
             item: at_s
@@ -80,7 +81,8 @@
     play(scene)
 
 
-def scored_by(result: dict[str, Any]) -> bool:
+def has_own_score(result: dict[str, Any]) -> bool:
+    """Return whether a result is complete and has the score of its item."""
     item = result['id']
     stamps = {f'proof of desk-{number} {score_id(item)}' for number in (0, 1)}
     return result.get('score') in stamps and result['state'] == 'completed'
@@ -93,10 +95,10 @@
 def same_scores(context: Any, count: int) -> None:
     assert len(context.results) == count, context.results
     assert context.results == context.second
-    assert all(scored_by(result) for result in context.results)
+    assert all(has_own_score(result) for result in context.results)
 
 
-@then('each score call came as its trainer wrote it, behind the last event')
+@then('each score call is sent as its trainer wrote it, after the last event')
 def as_written(context: Any) -> None:
     assert len(context.calls) == len(context.results)
     for seen in context.calls:
@@ -107,12 +109,12 @@
         assert seen.at_s >= context.made_at_s[item], seen
 
 
-def watch_running(site: Site, most: Counter[str]) -> None:
-    """Keep the most score calls that each service had at once."""
+def record_most_running(site: Site, most: Counter[str]) -> None:
+    """Record the most score calls that each service ran at the same time."""
     for service in site.services.values():
         run = service.run
 
-        async def watched(
+        async def recorded(
             request: HttpRequest,
             headers: dict[str, str],
             body: bytes,
@@ -123,39 +125,39 @@
             most[service.name] = max(most[service.name], running)
             return await run(request, headers, body)
 
-        setattr(service, 'run', watched)  # noqa: B010
+        setattr(service, 'run', recorded)  # noqa: B010
 
 
-@given(
-    'a site that scores {count:d} texts that end together while callers come'
-)
+@given('a site that scores {count:d} texts at once while callers send calls')
 def burst(context: Any, count: int) -> None:
     async def scene(site: Site) -> None:
         await site.start(engines=10)
         for service in site.services.values():
-            service.work_s = SCORE_S
+            service.work_s = SCORE_CALL_S
         context.most = Counter()
-        watch_running(site, context.most)
-        began = site.clock.elapsed()
+        record_most_running(site, context.most)
+        started_at = site.clock.elapsed()
         await handed_in(
-            site, [[5, 5, 5, 5] for _ in range(count // 4)], score_path=SCORES
+            site,
+            [[5, 5, 5, 5] for _ in range(count // 4)],
+            score_path=SCORE_PATH,
         )
         context.waits_s = []
         reading = asyncio.create_task(site.all_results('entry-0', JOB))
         for number in range(30):
             await asyncio.sleep(0.03)
-            asked = site.clock.elapsed()
+            sent_at = site.clock.elapsed()
             reply = await site.ask(
                 'entry-1', 'POST', '/book/x', Request_Id=f'call-{number}'
             )
             assert reply is not None
             assert reply.status == 200, reply.status
             context.waits_s.append(
-                (site.clock.elapsed() - asked).total_seconds()
+                (site.clock.elapsed() - sent_at).total_seconds()
             )
         context.results = await reading
         last_s = max(seen.at_s for seen in score_calls(site))
-        context.took_s = last_s + SCORE_S - began.total_seconds()
+        context.took_s = last_s + SCORE_CALL_S - started_at.total_seconds()
 
     play(scene)
 
@@ -163,14 +165,14 @@
 @then(
     'no service ever had more than {most:d} score calls for its {slots:d} slots'
 )
-def never_full(context: Any, most: int, slots: int) -> None:
+def few_score_calls(context: Any, most: int, slots: int) -> None:
     assert most < slots
     assert context.most
     assert max(context.most.values()) <= most, context.most
 
 
 @then('every caller was answered within {most_ms:d} ms')
-def callers_soon(context: Any, most_ms: int) -> None:
+def callers_answered(context: Any, most_ms: int) -> None:
     assert max(context.waits_s) * 1000 <= most_ms, context.waits_s
 
 
@@ -179,12 +181,12 @@
 )
 def scored_within(context: Any, count: int, most_s: float) -> None:
     assert len(context.results) == count
-    assert all(scored_by(result) for result in context.results)
+    assert all(has_own_score(result) for result in context.results)
     assert context.took_s <= most_s, context.took_s
 
 
-def spec_of(item: str, group: str) -> ItemSpec:
-    call = ScoreCall(score_id(item), 'h', SCORES, b'')
+def scored_spec(item: str, group: str) -> ItemSpec:
+    call = ScoreCall(score_id(item), 'h', SCORE_PATH, b'')
     return ItemSpec(
         ItemId(item), '/p', (), b'', GroupId(group), score_call=call
     )
@@ -194,7 +196,7 @@
 def queue(context: Any) -> None:
     context.queue = ScoreQueue()
     for item, group in (('a', 'large'), ('b', 'large'), ('c', 'small')):
-        spec = spec_of(item, group)
+        spec = scored_spec(item, group)
         text = ItemResult(spec.item, ItemState.COMPLETED, 'text')
         context.queue.add(spec, text)
     context.open = {'large': 3, 'small': 1}
@@ -212,8 +214,8 @@
         await site.start(services=5)
         for service in site.services.values():
             service.always_fail.add(score_id(f'{JOB}.0.1'))
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORES)
-        await played(context, site, 'entry-0')
+        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
+        await read_to_end(context, site, 'entry-0')
 
     play(scene)
 
@@ -236,7 +238,7 @@
     assert context.took_s <= most_s, context.took_s
 
 
-#: Ways to answer that are modes of an upstream.
+#: Kinds of answers that are modes of an upstream.
 MODES = {
     'with a broken body': UpstreamMode.BROKEN,
     'with a refusal': UpstreamMode.FULL,
@@ -245,7 +247,8 @@
 }
 
 
-def spoil(site: Site, kind: str) -> None:
+def break_answers(site: Site, kind: str) -> None:
+    """Have all services answer in a way that proves no score."""
     mode = MODES.get(kind)
     for service in site.services.values():
         if mode:
@@ -253,13 +256,14 @@
         elif kind == 'without a stamp':
             setattr(service, 'stamp', lambda _: '')  # noqa: B010
         else:
-            honest = type(service).fields.__get__(service)
+            fields = type(service).fields.__get__(service)
             setattr(  # noqa: B010
-                service, 'fields', lambda _, honest=honest: honest('another')
+                service, 'fields', lambda _, fields=fields: fields('another')
             )
 
 
-def mend(site: Site) -> None:
+def repair_answers(site: Site) -> None:
+    """Have all services answer well again."""
     for service in site.services.values():
         service.mode = UpstreamMode.GOOD
         for name in ('stamp', 'fields'):
@@ -267,14 +271,14 @@
 
 
 @given('a site whose service answers score calls {kind} for {seconds:g} s')
-def spoilt(context: Any, kind: str, seconds: float) -> None:
+def broken_answers(context: Any, kind: str, seconds: float) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        spoil(site, kind)
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORES)
+        break_answers(site, kind)
+        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
         await asyncio.sleep(seconds)
-        mend(site)
-        await played(context, site, 'entry-0')
+        repair_answers(site)
+        await read_to_end(context, site, 'entry-0')
 
     play(scene)
 
@@ -282,36 +286,38 @@
 @then('every result has the score of its item')
 def every_scored(context: Any) -> None:
     assert len(context.results) == 4, context.results
-    assert all(scored_by(result) for result in context.results), context.results
+    assert all(has_own_score(result) for result in context.results), (
+        context.results
+    )
 
 
 @then('fewer than {most:d} score calls were sent for an item')
-def paced(context: Any, most: int) -> None:
+def few_calls(context: Any, most: int) -> None:
     sent = Counter(seen.request for seen in context.calls)
     assert max(sent.values()) < most, sent
 
 
-@given('a site without a route for score calls, which comes after {after:g} s')
-def no_route(context: Any, after: float) -> None:
+@given('a site whose route for score calls is added after {after:g} s')
+def route_added(context: Any, after: float) -> None:
     async def scene(site: Site) -> None:
         score_route = site.routes.pop()
-        assert score_route['path_prefix'] == SCORES
+        assert score_route['path_prefix'] == SCORE_PATH
         await site.start()
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORES)
+        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
         await asyncio.sleep(after)
         assert not score_calls(site)
         site.routes.append(score_route)
         site.put_manifest()
-        await played(context, site, 'entry-0')
+        await read_to_end(context, site, 'entry-0')
 
     play(scene)
 
 
 async def leave_texts_unscored(site: Site) -> str:
-    """Have a job's texts wait for their scores; return its owner."""
+    """Run a job until its texts wait for their scores; return its owner."""
     await site.start()
     set_services(site, UpstreamMode.FULL)
-    await handed_in(site, [[20, 20], [20, 20]], score_path=SCORES)
+    await handed_in(site, [[20, 20], [20, 20]], score_path=SCORE_PATH)
     await asyncio.sleep(2.5)
     return owner_of(site)
 
@@ -323,7 +329,7 @@
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
         await asyncio.sleep(1)
         set_services(site, UpstreamMode.GOOD)
-        await played(context, site, other(site, owner))
+        await read_to_end(context, site, other(site, owner))
         await stopping
 
     play(scene)
@@ -335,7 +341,7 @@
         owner = await leave_texts_unscored(site)
         await site.kill(owner)
         set_services(site, UpstreamMode.GOOD)
-        await played(context, site, other(site, owner))
+        await read_to_end(context, site, other(site, owner))
 
     play(scene)
 
@@ -352,11 +358,11 @@
 def stopped_waiting(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[3, 3, 3, 60]], score_path=SCORES)
+        await handed_in(site, [[3, 3, 3, 60]], score_path=SCORE_PATH)
         await asyncio.sleep(1)
         owner = owner_of(site)
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
-        await played(context, site, other(site, owner))
+        await read_to_end(context, site, other(site, owner))
         await stopping
 
     play(scene)
@@ -375,14 +381,15 @@
         await site.start(services=2)
         for service in site.services.values():
             service.always_fail.add(score_id(f'{JOB}.0.0'))
-        await handed_in(site, [[3, 3]], score_path=SCORES)
+        await handed_in(site, [[3, 3]], score_path=SCORE_PATH)
         owner = owner_of(site)
         while len(score_calls(site)) < 3:
             await asyncio.sleep(0.01)
-        # Two upstreams have answered 500, a pause of a tick goes on.
+        # Two upstreams have answered 500. The stop happens during the pause
+        # of 0.1 s before the next attempt.
         await asyncio.sleep(0.06)
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
-        await played(context, site, other(site, owner))
+        await read_to_end(context, site, other(site, owner))
         await stopping
 
     play(scene)
@@ -417,7 +424,7 @@
         await site.start()
         for slow in site.services.values():
             slow.work_s = 1.3
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORES)
+        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
         await asyncio.sleep(0.5)
         assert any(service.running for service in site.services.values())
         reply = await site.ask('entry-1', 'DELETE', f'/-/lots/{JOB}')
@@ -438,6 +445,6 @@
     assert not context.running, context.running
 
 
-@then('no score call comes later than 100 ms behind the end')
+@then('no score call is sent later than 100 ms after the end')
 def none_later(context: Any) -> None:
     assert not context.calls, context.calls
--- a/features/steps/gateway_takeovers_steps.py
+++ b/features/steps/gateway_takeovers_steps.py
@@ -59,7 +59,7 @@
     play(scene)
 
 
-@given('a site whose owner gets its job back before it knew of the loss')
+@given('a site whose owner gets its job back before it noticed the takeover')
 def got_back(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
@@ -80,13 +80,13 @@
     play(scene)
 
 
-@then('its items run on while nobody reads')
-def run_on(context: Any) -> None:
+@then('its items continue to run without a reader')
+def continue_to_run(context: Any) -> None:
     assert all(context.running), context.running
 
 
 @given('a site whose next owner starts again and is cut off from its store')
-def started_cut_off(context: Any) -> None:
+def restarted_cut_off(context: Any) -> None:
     context.groups = [[2, 2], [4, 4]]
 
     async def scene(site: Site) -> None:
@@ -95,7 +95,7 @@
         owner = str(site.store.table.specs('jobs')['j0']['owner'])
         await site.kill(owner)
         store = site.store.address
-        # Nothing listens where this entry looks for the store.
+        # No process listens at the address where this entry expects the store.
         site.store.address = at(8999)
         started = await site.add_entry(owner)
         site.store.address = store
@@ -126,7 +126,17 @@
 
 
 async def cut_off(site: Site, entry: str, silent: Store) -> None:
-    """Have neither the store nor other entries answer an entry's calls."""
+    """Have neither the store nor other entries respond to an entry.
+
+    Parameters
+    ----------
+    site
+        The site.
+    entry
+        The entry that is cut off.
+    silent
+        A store, not started yet, whose address stands for both.
+    """
     silent.mode = StoreMode.SILENT
     await silent.start()
     access = site.entries[entry]._access
@@ -136,8 +146,8 @@
     }
 
 
-@given('a site whose owner is cut off both ways and asked to stop')
-def cut_and_stopped(context: Any) -> None:
+@given('a site whose owner reaches no store and no entry and is stopped')
+def cut_off_and_stopped(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
         await handed_in(site, [[200, 200]])
@@ -145,13 +155,13 @@
         first = owner_of(site)
         silent = Store(at(8998), site.clock)
         await cut_off(site, first, silent)
-        began = site.clock.elapsed()
+        started_at = site.clock.elapsed()
         stopping = asyncio.create_task(site.entries.pop(first).stop())
         reading = asyncio.create_task(site.all_results(other(site, first), JOB))
         await asyncio.sleep(0.1)
         while not at_work(site):
             await asyncio.sleep(0.1)
-        context.took_s = (site.clock.elapsed() - began).total_seconds()
+        context.took_s = (site.clock.elapsed() - started_at).total_seconds()
         reading.cancel()
         await stopping
         await silent.stop()
@@ -159,15 +169,15 @@
     play(scene)
 
 
-@then('another entry has its items at work within {most_s:g} s')
-def at_work_within(context: Any, most_s: float) -> None:
+@then('another entry runs its items within {most_s:g} s')
+def run_elsewhere(context: Any, most_s: float) -> None:
     assert context.took_s <= most_s, context.took_s
 
 
 @given(
     'a site whose job is ended while its next owner takes {load:g} s to load it'
 )
-def ended_in_load(context: Any, load: float) -> None:
+def ended_while_loading(context: Any, load: float) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
         await handed_in(site, list(SHORT_AND_LONG))
--- a/features/steps/planned_stops_steps.py
+++ b/features/steps/planned_stops_steps.py
@@ -1,4 +1,4 @@
-"""Steps for planned stops in series, on whole sites in virtual time."""
+"""Steps for planned stops of several entries, on sites in virtual time."""
 
 from __future__ import annotations
 
@@ -20,15 +20,18 @@
 from features.support import logged
 from lab.site import Site, play
 
-#: Lengths of the step's items: all of them wait or run for seconds.
+#: Events of the job's items, by group. Each item waits or runs for seconds.
 GROUPS = [[90, 90], [90, 90]]
-STORE_S = 0.4
-ASK_S = 0.1
-WATCHED_S = 5
+#: How long the store takes for a response.
+STORE_ANSWER_S = 0.4
+#: Pause between two rounds of reads at an entry.
+READ_PAUSE_S = 0.1
+#: How long reads go on after the last stop.
+READS_AFTER_STOPS_S = 5
 
 
 def listed_in_store(site: Site) -> set[str]:
-    """Return the items that have a position: their bodies may be denied."""
+    """Return the listed items, whose bodies may be denied."""
     records = site.store.table.specs(f'job-{JOB}')
     return {
         result['item']
@@ -38,8 +41,11 @@
     }
 
 
-async def asked(site: Site, entry: str) -> dict[str, int | None]:
-    """Return the statuses of each waiting item's body, and of a page."""
+async def read_bodies_and_page(site: Site, entry: str) -> dict[str, int | None]:
+    """Return the status of each unlisted item's body, and of a page.
+
+    A status is ``None`` if the entry did not respond.
+    """
     statuses: dict[str, int | None] = {}
     for item in lengths_of(GROUPS):
         reply = await site.ask(entry, 'GET', f'/-/items/{JOB}?id={item}')
@@ -57,10 +63,12 @@
 def series_of_stops(context: Any, entries: int, count: int, gap: float) -> None:
     context.answers = []
 
-    async def keep_asking(site: Site, entry: str) -> None:
+    async def keep_reading(site: Site, entry: str) -> None:
         while True:
-            context.answers.append((entry, await asked(site, entry)))
-            await asyncio.sleep(ASK_S)
+            context.answers.append(
+                (entry, await read_bodies_and_page(site, entry))
+            )
+            await asyncio.sleep(READ_PAUSE_S)
 
     async def scene(site: Site) -> None:
         await site.start(entries=entries)
@@ -68,16 +76,16 @@
         await asyncio.sleep(0.5)
         owner = owner_of(site)
         others = [name for name in sorted(site.entries) if name != owner]
-        site.store.answer_s = STORE_S
+        site.store.answer_s = STORE_ANSWER_S
         readers = [
-            asyncio.create_task(keep_asking(site, name))
+            asyncio.create_task(keep_reading(site, name))
             for name in site.entries
         ]
         stopping = []
         for name in (owner, *others[: count - 1]):
             stopping.append(asyncio.create_task(site.entries[name].stop()))
             await asyncio.sleep(gap)
-        await asyncio.sleep(WATCHED_S)
+        await asyncio.sleep(READS_AFTER_STOPS_S)
         for task in readers:
             task.cancel()
         await asyncio.gather(*readers, return_exceptions=True)
@@ -90,7 +98,7 @@
     play(scene)
 
 
-@then('no body of an item that waits was denied, and no page')
+@then('no body of an unlisted item was denied, and no page')
 def none_denied(context: Any) -> None:
     denied = [
         (entry, what)
@@ -162,10 +170,10 @@
 
 
 @then(
-    'all {count:d} items run on elsewhere within {most:g} s, behind their last'
+    'all {count:d} items continue elsewhere within {most:g} s, after their last'
     ' event'
 )
-def run_on(context: Any, count: int, most: float) -> None:
+def continue_elsewhere(context: Any, count: int, most: float) -> None:
     assert len(context.begun) == count, context.begun
     for item, (at_s, headers) in context.begun.items():
         assert at_s - context.stopped_at_s <= most, (item, at_s)
@@ -177,9 +185,7 @@
     check_whole(context.results, GROUPS, count)
 
 
-@given(
-    'a site whose step is taken over by an entry that loads it in {load:g} s'
-)
+@given('a site whose job is taken over by an entry that loads it in {load:g} s')
 def slow_load(context: Any, load: float) -> None:
     async def scene(site: Site) -> None:
         await site.start()
@@ -188,10 +194,10 @@
         second = other(site, owner)
         site.store.list_s = load
         began_s = asyncio.get_running_loop().time()
-        taking = asyncio.create_task(taken_over_by(site, second))
+        takeover = asyncio.create_task(taken_over_by(site, second))
         context.read = await site.results(owner, JOB)
         read_s = asyncio.get_running_loop().time()
-        await taking
+        await takeover
         loaded_s = asyncio.get_running_loop().time()
         assert began_s < read_s < loaded_s - 0.5, (began_s, read_s, loaded_s)
         await asyncio.sleep(0.1)
@@ -211,8 +217,8 @@
     assert results == context.read['results'], results
 
 
-@given('a site whose step is handed in again while its next owner loads it')
-def handed_in_again(context: Any) -> None:
+@given('a site whose job is submitted again while its next owner loads it')
+def submitted_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
         await handed_in(site, [[2, 2], [90, 90]])
--- a/features/steps/steps_crashes_steps.py
+++ b/features/steps/steps_crashes_steps.py
@@ -23,20 +23,29 @@
 from lab.upstreams import register
 from lab.wire import JobItem, job_body
 
-#: In events: two and a half seconds.
-LENGTH = 60
-ITEM = f'{JOB}.0.1'
-DEADLY = '/roll/deadly'
+#: Events of each item, which take two and a half seconds.
+ITEM_EVENTS = 60
+#: The item under which engines end.
+CRASHING_ITEM = f'{JOB}.0.1'
+#: The path of all items under which engines end, whatever their ids are.
+CRASHING_PATH = '/roll/deadly'
 
 
-class ItemPlan:
-    """A site where one item ends each engine that runs it."""
+class CrashPlan:
+    """A site where one item ends each engine that runs it.
+
+    Parameters
+    ----------
+    engines
+        Number of engines.
+    """
 
     def __init__(self, engines: int) -> None:
         self.engines = engines
-        self.act: Any = None
-        #: Which item ends engines, if one does by its path.
-        self.item = ITEM
+        #: Coroutine function that plays the scenario on the started site.
+        self.scene: Any = None
+        #: The item that ends engines; empty if the scene sets other targets.
+        self.item = CRASHING_ITEM
 
     async def __call__(self, site: Site) -> Any:
         await site.start(self.engines, services=0)
@@ -46,14 +55,14 @@
             engine.crashes.started_again = functools.partial(
                 register, site.store, engine
             )
-        return await self.act(site)
+        return await self.scene(site)
 
 
-def lengths(groups: int, items: int) -> list[list[int]]:
-    return [[LENGTH for _ in range(items)] for _ in range(groups)]
+def item_lengths(groups: int, items: int) -> list[list[int]]:
+    return [[ITEM_EVENTS for _ in range(items)] for _ in range(groups)]
 
 
-def engines_ended(site: Site) -> int:
+def count_ended_engines(site: Site) -> int:
     return sum(one.crashes.count for one in site.engines.values())
 
 
@@ -61,17 +70,17 @@
     'a site with {engines:d} engines and a job in which one item ends engines'
 )
 def crashing_item(context: Any, engines: int) -> None:
-    context.plan = ItemPlan(engines)
+    context.plan = CrashPlan(engines)
 
 
 @when('the job of {groups:d} groups of {items:d} items runs for {run_s:d} s')
 def runs_for(context: Any, groups: int, items: int, run_s: int) -> None:
-    async def act(site: Site) -> None:
-        await handed_in(site, lengths(groups, items))
+    async def scene(site: Site) -> None:
+        await handed_in(site, item_lengths(groups, items))
         context.listed = await site.all_results('entry-0', JOB, run_s)
-        context.ends = engines_ended(site)
+        context.ends = count_ended_engines(site)
 
-    context.plan.act = act
+    context.plan.scene = scene
     context.expected = {
         f'{JOB}.{group}.{item}'
         for group in range(1, groups)
@@ -85,15 +94,15 @@
     'killed after {wait_s:d} s'
 )
 def owner_killed(context: Any, groups: int, items: int, wait_s: int) -> None:
-    async def act(site: Site) -> None:
-        await handed_in(site, lengths(groups, items))
+    async def scene(site: Site) -> None:
+        await handed_in(site, item_lengths(groups, items))
         await asyncio.sleep(wait_s)
         owner = owner_of(site)
         await site.kill(owner)
         await site.all_results(other(site, owner), JOB, 10)
-        context.ends = engines_ended(site)
+        context.ends = count_ended_engines(site)
 
-    context.plan.act = act
+    context.plan.scene = scene
     play(context.plan)
 
 
@@ -109,12 +118,18 @@
     assert set(listed.values()) == {'completed'}, listed
 
 
-def deadly_job(name: str) -> bytes:
-    """Return a job of one prompt, whose items differ in ids and bodies."""
-    items = (JobItem(f'{name}.{one}', LENGTH + one, 'g') for one in range(4))
+def crashing_job(name: str) -> bytes:
+    """Return the body of a job whose 4 items have the same path and prompt.
+
+    Their ids and bodies differ.
+    """
+    items = (
+        JobItem(f'{name}.{number}', ITEM_EVENTS + number, 'g')
+        for number in range(4)
+    )
     written = json.loads(job_body('/roll/', items, 1, 1))
     for item in written['items']:
-        item['path'] = DEADLY
+        item['path'] = CRASHING_PATH
         item['headers']['X-Bergamotdoor-Prompt-Prefix'] = 'a1:500,b2:16'
     return json.dumps(written).encode()
 
@@ -123,34 +138,34 @@
     'a site with {engines:d} engines and two jobs of one prompt that ends'
     ' engines'
 )
-def deadly_prompt(context: Any, engines: int) -> None:
-    context.plan = ItemPlan(engines)
+def crashing_prompt(context: Any, engines: int) -> None:
+    context.plan = CrashPlan(engines)
 
 
 @when('they run for {run_s:d} s beside a job of {groups:d} groups of 5 items')
 def runs_beside(context: Any, run_s: int, groups: int) -> None:
-    async def act(site: Site) -> None:
+    async def scene(site: Site) -> None:
         for engine in site.engines.values():
-            engine.crashes.targets.add(DEADLY)
+            engine.crashes.targets.add(CRASHING_PATH)
         began_s = asyncio.get_running_loop().time()
         for name in ('d1', 'd2'):
             reply = await site.ask(
                 'entry-0',
                 'POST',
                 f'/roll/{name}',
-                deadly_job(name),
+                crashing_job(name),
                 Request_Id=name,
             )
             assert reply is not None
             assert reply.status == 202, reply
             if name == 'd1':
-                await handed_in(site, lengths(groups, 5))
+                await handed_in(site, item_lengths(groups, 5))
         context.listed = await site.all_results('entry-0', JOB, run_s)
         spent_s = asyncio.get_running_loop().time() - began_s
         await asyncio.sleep(max(run_s - spent_s, 0))
-        context.ends = engines_ended(site)
+        context.ends = count_ended_engines(site)
 
-    context.plan.act = act
+    context.plan.scene = scene
     context.plan.item = ''
     context.expected = {
         f'{JOB}.{group}.{item}' for group in range(groups) for item in range(5)
@@ -158,7 +173,7 @@
     play(context.plan)
 
 
-def item(
+def item_spec(
     name: str, path: str = '/p', prompt: str = '', body: bytes = b''
 ) -> ItemSpec:
     headers = (('x-Bergamotdoor-prompt-prefix', prompt),) if prompt else ()
@@ -170,13 +185,13 @@
     job = JobSpec(
         JobId('j'), 'host', '/', ModelId('m'), WeightVersion(1), items=()
     )
-    first = item_fingerprint(job, item('1', prompt='a:5,b:1', body=b'1'))
-    assert first == item_fingerprint(job, item('2', prompt='a:5,b:1'))
-    assert first != item_fingerprint(job, item('1', prompt='a:5,c:1'))
-    assert first != item_fingerprint(job, item('1', '/q', 'a:5,b:1'))
-    bare = item_fingerprint(job, item('1', body=b'1'))
-    assert bare == item_fingerprint(job, item('2', body=b'1'))
-    assert bare != item_fingerprint(job, item('1', body=b'2'))
+    first = item_fingerprint(job, item_spec('1', prompt='a:5,b:1', body=b'1'))
+    assert first == item_fingerprint(job, item_spec('2', prompt='a:5,b:1'))
+    assert first != item_fingerprint(job, item_spec('1', prompt='a:5,c:1'))
+    assert first != item_fingerprint(job, item_spec('1', '/q', 'a:5,b:1'))
+    bare = item_fingerprint(job, item_spec('1', body=b'1'))
+    assert bare == item_fingerprint(job, item_spec('2', body=b'1'))
+    assert bare != item_fingerprint(job, item_spec('1', body=b'2'))
 
 
 @given('a site whose service ends under the score call of one item')
@@ -184,17 +199,17 @@
     context.plan = None
 
 
-@when('its job runs for {run_s:d} s, and callers come all the time')
+@when('its job runs for {run_s:d} s, and callers send calls all the time')
 def scored_job(context: Any, run_s: int) -> None:
     async def scene(site: Site) -> None:
         await site.start(engines=3, services=3)
         for service in site.services.values():
-            service.crashes.bodies.add(f'score {ITEM}'.encode())
+            service.crashes.bodies.add(f'score {CRASHING_ITEM}'.encode())
             service.crashes.started_again = functools.partial(
                 register, site.store, service
             )
-        callers = asyncio.create_task(call_often(site))
-        await handed_in(site, lengths(3, 4), score_path='/score/')
+        callers = asyncio.create_task(send_calls(site))
+        await handed_in(site, item_lengths(3, 4), score_path='/score/')
         context.listed = await site.all_results('entry-0', JOB, run_s)
         callers.cancel()
         context.ends = sum(one.crashes.count for one in site.services.values())
@@ -202,7 +217,8 @@
     play(scene)
 
 
-async def call_often(site: Site) -> None:
+async def send_calls(site: Site) -> None:
+    """Send a call to the same services every 0.1 s, until cancelled."""
     number = 0
     while True:
         number += 1
--- a/features/steps/steps_listed_steps.py
+++ b/features/steps/steps_listed_steps.py
@@ -1,4 +1,4 @@
-"""Steps for bergamotdoor.steps.listed_results."""
+"""Steps for the cache of listed results."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 from lab.store import StoreMode
 
 draws = hypothesis.strategies
+#: Number of the job's results.
 TOTAL = 12
-SIZE = 10
+#: Bytes of text in each result.
+RESULT_BYTES = 10
 RESULTS = tuple(
-    ItemResult(ItemId(f'i{number}'), ItemState.COMPLETED, 'x' * SIZE)
+    ItemResult(ItemId(f'i{number}'), ItemState.COMPLETED, 'x' * RESULT_BYTES)
     for number in range(TOTAL)
 )
 
 
-@then('300 histories of pages show nothing else')
+@then('this holds for 300 histories of pages')
 def histories(_: Any) -> None:
     pages = draws.lists(
         draws.tuples(draws.integers(0, TOTAL), draws.integers(0, TOTAL)),
@@ -37,21 +39,21 @@
     )
     @hypothesis.given(pages, draws.integers(0, TOTAL), draws.integers(1, 8))
     def check(
-        taken: list[tuple[int, int]], after: int, most_results: int
+        added: list[tuple[int, int]], after: int, most_results: int
     ) -> None:
-        listed = ListedResults()
+        cache = ListedResults()
         known: set[int] = set()
-        for begin, behind in taken:
-            listed.take(
-                JobId(JOB), begin, ResultPage(TOTAL, RESULTS[begin:behind])
+        for begin, end_of_page in added:
+            cache.take(
+                JobId(JOB), begin, ResultPage(TOTAL, RESULTS[begin:end_of_page])
             )
-            known.update(range(begin, behind))
-        shown = listed.shown(JobId(JOB), after, most_results * SIZE)
+            known.update(range(begin, end_of_page))
+        shown = cache.shown(JobId(JOB), after, most_results * RESULT_BYTES)
         end = after + len(shown.results)
         assert shown.results == RESULTS[after:end]
         assert set(range(after, end)) <= known
         assert len(shown.results) <= most_results
-        if taken:
+        if added:
             full = len(shown.results) == most_results and end in known
             assert shown.enough == (end >= TOTAL or full)
         else:
@@ -60,30 +62,31 @@
     check()
 
 
-@given('an entry that keeps 1000 bytes of results')
-def small(context: Any) -> None:
-    context.listed = ListedResults(most_bytes=1000)
+@given('a result cache of 1000 bytes')
+def small_cache(context: Any) -> None:
+    context.cache = ListedResults(most_bytes=1000)
 
 
-@when('it has shown 5 jobs of 300 bytes')
-def shown_five(context: Any) -> None:
+@when('pages of 5 jobs of 300 bytes are added')
+def five_added(context: Any) -> None:
     result = ItemResult(ItemId('i'), ItemState.COMPLETED, 'x' * 300)
     for number in range(5):
         page = ResultPage(1, (result,))
-        context.listed.take(JobId(f'j{number}'), 0, page)
+        context.cache.take(JobId(f'j{number}'), 0, page)
 
 
-@then('it knows the last 3 of them')
-def knows_last(context: Any) -> None:
+@then('the last 3 of them are cached')
+def last_cached(context: Any) -> None:
     known = [
         number
         for number in range(5)
-        if context.listed.shown(JobId(f'j{number}'), 0, 1000).results
+        if context.cache.shown(JobId(f'j{number}'), 0, 1000).results
     ]
     assert known == [2, 3, 4], known
 
 
-async def read_all(site: Site, entry: str, after: int) -> list[dict[str, Any]]:
+async def read_page(site: Site, entry: str, after: int) -> list[dict[str, Any]]:
+    """Return the results of one read from a position on."""
     page = await site.results(entry, JOB, after)
     assert isinstance(page, dict), page
     return list(page['results'])
@@ -103,31 +106,31 @@
 
 
 @when('it is read there again from 3 positions')
-def again(context: Any) -> None:
+def read_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         reader = await context.prepare(site)
         owner = site.entries[owner_of(site)]
-        asked: list[Any] = []
+        messages: list[Any] = []
         service = owner._parts.peer_service
         handle = service.handle
 
-        async def watched(message: Any) -> Any:
-            asked.append(message)
+        async def recorded(message: Any) -> Any:
+            messages.append(message)
             return await handle(message)
 
-        setattr(service, 'handle', watched)  # noqa: B010
+        setattr(service, 'handle', recorded)  # noqa: B010
         context.pages = [
-            await read_all(site, reader, after) for after in (0, 1, 3)
+            await read_page(site, reader, after) for after in (0, 1, 3)
         ]
-        context.asked = asked
+        context.messages = messages
 
     play(scene)
 
 
-@then('the pages are right, and the owner was asked nothing')
-def right(context: Any) -> None:
+@then('the pages are right, and the owner received no message')
+def pages_right(context: Any) -> None:
     assert context.pages == [context.all[after:] for after in (0, 1, 3)]
-    assert not context.asked, context.asked
+    assert not context.messages, context.messages
 
 
 @given('a site whose other entry has shown a part of a job')
@@ -137,7 +140,7 @@
         await handed_in(site, [[2, 2], [90, 90]])
         reader = other(site, owner_of(site))
         await asyncio.sleep(0.5)
-        context.part = await read_all(site, reader, 0)
+        context.part = await read_page(site, reader, 0)
         assert len(context.part) == 2
         return reader
 
@@ -145,7 +148,7 @@
 
 
 @when('the owner is killed and the store refuses all calls')
-def all_gone(context: Any) -> None:
+def owner_and_store_gone(context: Any) -> None:
     async def scene(site: Site) -> None:
         reader = await context.prepare(site)
         site.store.mode = StoreMode.BUSY
--- a/features/steps_listed.feature
+++ b/features/steps_listed.feature
@@ -1,28 +1,29 @@
-Feature: results that an entry has shown before
+Feature: cache of listed results
 
-  Scenario: whatever was shown and in which order, a page is a part of the job
-    Pages drawn by Hypothesis are taken in any order. What is shown from a
-    position on is what the job has there, without a gap, within the limit
-    for a page; it is called enough only if the job ends there or no more fits.
+  Scenario: a cached page is a gapless part of the job
+    Hypothesis draws pages and the order in which they are added. The results
+    that the cache returns from a position on are those of the job there,
+    without a gap and within the limit for a page. They are marked as enough
+    only if the job ends there or no more results fit.
 
-    Then 300 histories of pages show nothing else
+    Then this holds for 300 histories of pages
 
-  Scenario: steps that were read long ago make room for new ones
-    Given an entry that keeps 1000 bytes of results
-    When it has shown 5 jobs of 300 bytes
-    Then it knows the last 3 of them
+  Scenario: jobs whose pages were added long ago are evicted
+    Given a result cache of 1000 bytes
+    When pages of 5 jobs of 300 bytes are added
+    Then the last 3 of them are cached
 
-  Scenario: a step that was read whole is read again without its owner
-    Clients read steps again and again at entries of other zones. Positions
-    never change, so the owner is asked for what is new only.
+  Scenario: a job that was read completely is read again without its owner
+    Clients read jobs again and again at entries of other availability zones.
+    Positions never change, so only new results are requested from the owner.
 
     Given a site whose other entry has shown a whole job
     When it is read there again from 3 positions
-    Then the pages are right, and the owner was asked nothing
+    Then the pages are right, and the owner received no message
 
-  Scenario: what was shown once is shown though owner and store are gone
-    An entry that has shown a part of a step reaches neither its owner nor
-    the store. It denies nothing of what it has shown.
+  Scenario: cached results are returned without owner and store
+    An entry has returned a part of a job, and now reaches neither the job's
+    owner nor the store. It still returns the results that it returned before.
 
     Given a site whose other entry has shown a part of a job
     When the owner is killed and the store refuses all calls
