--- a/bergamotdoor/steps/item_suspects.py
+++ b/bergamotdoor/steps/item_suspects.py
@@ -35,8 +35,8 @@
 
     An item is a suspect if an engine ended while it ran the item.
 
-    Failure: a dozen items run beside the one that crashes engines, and some
-    of them continue together with it at the next engine, twice. Symptom:
+    Failure: a dozen items run at the same engine as the one that crashes it,
+    and some of them continue together with it elsewhere, twice. Symptom:
     after the third crash they have as many strikes as the item at fault, and
     all of them are in quarantine while their job waits. Items under which two
     engines have ended are isolated: they run at different engines, so that
--- a/bergamotdoor/steps/job_run.py
+++ b/bergamotdoor/steps/job_run.py
@@ -117,7 +117,7 @@
 
         Failure: the store answers a lookup of the record seconds late, after
         the job was handed back to this process. Symptom: the owner goes on
-        with an older term than the store has, takes its own newer record for
+        with an older term than the store has, treats its own newer record as
         another owner's, and stops the job. So an older record is ignored.
         """
         if found.record.term > self.found.record.term:
--- a/bergamotdoor/steps/jobs_desk.py
+++ b/bergamotdoor/steps/jobs_desk.py
@@ -245,7 +245,7 @@
     -----
     Failure: the store is slow, and the owner asks it for new results before
     it responds that there are none. Symptom: the response comes too late, the
-    owner is taken for gone, and the job is started again elsewhere. So the
+    owner is considered gone, and the job is started again elsewhere. So the
     store is asked while the reader waits, and the check is cancelled before
     the reader's entry stops waiting.
     """
--- a/bergamotdoor/steps/result_writer.py
+++ b/bergamotdoor/steps/result_writer.py
@@ -20,8 +20,8 @@
 
 #: Results that finish within this time go into one record. Each record costs
 #: a call of the store and reaches readers some milliseconds later.
-_GATHER_MS: Final = 60
-GATHER: Final = dt.timedelta(milliseconds=_GATHER_MS)
+_BATCH_WINDOW_MS: Final = 60
+GATHER: Final = dt.timedelta(milliseconds=_BATCH_WINDOW_MS)
 #: The most text in a record: with all escapes it fits into an object of the
 #: store, which may have a megabyte.
 RECORD_BYTES: Final = 400_000
--- a/features/planned_stops.feature
+++ b/features/planned_stops.feature
@@ -30,7 +30,7 @@
     Then all 4 items continue elsewhere within 0.6 s, after their last event
     And all 4 results are listed, each once and whole
 
-  Scenario: a ledger that was loaded slowly is checked before a reader is denied
+  Scenario: an owner that loaded a job slowly denies no result that was read
     An entry takes a job over whose owner is alive, and needs 1.4 s to load
     it. Meanwhile a trainer reads two results from the first owner. It reads
     from the second owner as soon as that has loaded the job. The loaded ledger
@@ -42,11 +42,11 @@
 
   Scenario: a job that is submitted again is not started anew
     The owner is killed after two results were read. While the next owner
-    loads the job, the trainer, which lost the first response, submits it
-    again at a third entry. Guards against an entry that treats the job as new
-    so that the next owner adopts it without its results: "owned, term 2, 80
-    items, 0 listed", 48 of which had been read. All items ran again, and
-    readers were told that there was no result at position 5.
+    loads the job, the trainer, which did not receive the first response,
+    submits it again at a third entry. Guards against an entry that treats the
+    job as new, so that the next owner adopts it without its results: "owned,
+    term 2, 80 items, 0 listed", 48 of which had been read. All items ran
+    again, and readers were told that there was no result at position 5.
 
     Given a site whose job is submitted again while its next owner loads it
     Then the next owner lists the 2 results that had been read
--- a/features/steps_crashes.feature
+++ b/features/steps_crashes.feature
@@ -3,10 +3,11 @@
   Scenario: an item that ends every engine that runs it does not block its job
     Guards against an item that is never quarantined. A broken run did not
     count as a failure, so the item continued at the next engine at once, and
-    all other items there started again: 26 ends of five engines in 12 s, with
-    the line `item j1.0.1 at engine-0: broken`. Now the item is quarantined
-    after the third engine. The job completes without it. The item is not
-    listed as lost, since no engine has reported that it can't be done.
+    all other items there started again each time: 26 ends of five engines in
+    12 s, with the line `item j1.0.1 at engine-0: broken`. Now the item is
+    quarantined after the third engine, and the training step ends without it.
+    The item is not listed as lost, since no engine has reported that it can't
+    be done.
 
     Given a site with 5 engines and a job in which one item ends engines
     When the job of 4 groups of 5 items runs for 12 s
--- a/features/steps_listed.feature
+++ b/features/steps_listed.feature
@@ -3,8 +3,8 @@
   Scenario: a cached page is a gapless part of the job
     Hypothesis draws pages and the order in which they are added. The results
     that the cache returns from a position on are those of the job there,
-    without a gap and within the limit for a page. They are marked as enough
-    only if the job ends there or no more results fit.
+    without a gap and within the limit for a page. They are marked as all that
+    a page needs only if the job ends there or no more results fit.
 
     Then this holds for 300 histories of pages
 
