--- a/bergamotdoor/entry/__init__.py
+++ b/bergamotdoor/entry/__init__.py
@@ -1,3 +1,3 @@
-"""What an entry process knows: its services, the manifest, the upstreams."""
+"""State that an entry process holds: services, manifest and upstreams."""
 
 from __future__ import annotations
--- a/bergamotdoor/entry/context.py
+++ b/bergamotdoor/entry/context.py
@@ -1,4 +1,4 @@
-"""What the tasks of an entry process share."""
+"""State and services that the tasks of an entry process share."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 class Context(msgspec.Struct, frozen=True):
-    """Shared state and services of one process."""
+    """Shared state and services of one entry process."""
 
     settings: NodeSettings
     clock: Clock
     rng: random.Random
-    #: To upstreams and to other entries.
+    #: The HTTP client for requests to upstreams and to other entries.
     client: Client
     store: ObjectClient
     fleet: Fleet
     loads: Loads
     speeds: Speeds
     quarantine: Quarantine
-    #: Tells the other entries what this one adds to the quarantine.
+    #: Sends the strikes that this process records to the other entries.
     strikes: StrikeSharing
     metrics: Metrics
     startup: Startup
@@ -52,7 +52,19 @@
         client: Client,
         clock: Clock,
     ) -> Context:
-        """Return the state of a process that has just started."""
+        """Return the context of a process that has just started.
+
+        Parameters
+        ----------
+        settings
+            The settings of this process.
+        access
+            The clients for the store and for the other entries.
+        client
+            The HTTP client for requests to upstreams and to other entries.
+        clock
+            The clock that all tasks of the process use.
+        """
         loads = Loads()
         speeds = Speeds()
         quarantine = Quarantine()
@@ -80,18 +92,18 @@
 
     @property
     def own_address(self) -> Address:
-        """Where other processes reach this one."""
+        """The address at which other processes reach this one."""
         return Address(ip=self.settings.ip, port=self.settings.first_port)
 
     @property
     def own_entry(self) -> EntryRecord:
-        """What other processes are told of this one."""
+        """The record by which other processes know this one."""
         return EntryRecord(
             self.own_address, self.settings.zone, self.settings.link_mbps
         )
 
     def own_record(self, record: JobRecord) -> JobRecord:
-        """Return a job's record with this process as its owner."""
+        """Return a copy of a job's record with this process as the owner."""
         return msgspec.structs.replace(
             record, owner=self.settings.node, address=self.own_address
         )
--- a/bergamotdoor/entry/startup.py
+++ b/bergamotdoor/entry/startup.py
@@ -1,4 +1,4 @@
-"""What a process that has just started does not know yet."""
+"""The first listings that a process needs before it can serve callers."""
 
 from __future__ import annotations
 
@@ -6,45 +6,51 @@
 import enum
 from typing import Final
 
-#: How long a caller waits for what a new process has to learn: the store
-#: answers in milliseconds, and in a quarter of a second when it is sixty
-#: times as slow as usual.
-_PATIENCE_S: Final = 0.3
+#: How long a request waits for the first listings of a new process. The
+#: store answers in milliseconds, and in a quarter of a second when it is
+#: sixty times as slow as usual.
+_LISTINGS_TIMEOUT_S: Final = 0.3
 
 
 class Knowledge(enum.Enum):
-    """What has to be known before callers can be served."""
+    """Listing that must be known before callers can be served."""
 
     MANIFEST = 'manifest'
     UPSTREAMS = 'upstreams'
 
 
 class Startup:
-    """Lets the first callers of a process wait for its first listings.
+    """Gate that holds the first requests until the first listings are known.
 
-    Failure: callers are read a few milliseconds before the process has its
-    first manifest. Symptom: they are refused, and after a loss of power
-    everywhere so is their one retry. Waiting for the listings that are on
-    their way costs some milliseconds, and a bounded time while the store is
-    away.
+    Failure: a process reads requests a few milliseconds before it has its
+    first manifest. Symptom: it refuses them, and after a loss of power
+    everywhere it also refuses the one retry that each caller makes. Waiting
+    for the listings, which are already in flight, costs some milliseconds;
+    the wait is bounded while the store is unreachable.
     """
 
     def __init__(self) -> None:
         self._missing = set(Knowledge)
-        self._done = asyncio.Event()
+        self._complete = asyncio.Event()
 
     def learned(self, what: Knowledge) -> None:
-        """Take that something is known, for the first time or again."""
+        """Record that a listing is known.
+
+        Parameters
+        ----------
+        what
+            The listing; it may have been known before.
+        """
         self._missing.discard(what)
         if not self._missing:
-            self._done.set()
+            self._complete.set()
 
     async def wait(self) -> None:
-        """Return once all is known, or it takes too long."""
-        if self._done.is_set():
+        """Return once all listings are known or the timeout has passed."""
+        if self._complete.is_set():
             return
         try:
-            async with asyncio.timeout(_PATIENCE_S):
-                await self._done.wait()
+            async with asyncio.timeout(_LISTINGS_TIMEOUT_S):
+                await self._complete.wait()
         except TimeoutError:
             return
--- a/bergamotdoor/entry/views.py
+++ b/bergamotdoor/entry/views.py
@@ -1,4 +1,4 @@
-"""What a process keeps of the manifest and of the upstreams."""
+"""Views of the manifest and of the upstreams that a process keeps."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
     from bergamotdoor.jobs.messages import JobSpec
     from bergamotdoor.stored import Change, Listing, StoredObject
 
-#: After the store's return, living upstreams register again within two
-#: seconds.
-_REGISTER_AGAIN_S: Final = 2.5
-_REGISTER_AGAIN: Final = dt.timedelta(seconds=_REGISTER_AGAIN_S)
+#: How long a lapsed registration is kept after a failure of the store.
+#: Running upstreams register again within two seconds after its recovery.
+_REREGISTRATION_GRACE_S: Final = 2.5
+_REREGISTRATION_GRACE: Final = dt.timedelta(seconds=_REREGISTRATION_GRACE_S)
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class ManifestView:
-    """The manifest in force in this process; never goes back.
+    """Manifest in force in this process; its generation never decreases.
 
     Parameters
     ----------
     on_change
-        Called after each new one.
+        Called after each new manifest has come into force.
     startup
-        Told once there is one.
+        Notified when a manifest is known.
     """
 
     def __init__(
@@ -48,15 +48,28 @@
     ) -> None:
         self._startup = startup or Startup()
         self.manifest: Manifest | None = None
-        #: When it was known to be current, in time since the machine's start.
+        #: When the manifest was last known to be current, as the time since
+        #: the start of the machine; ``None`` if it never was.
         self.proven_at: dt.timedelta | None = None
-        #: Whether a written manifest could not be read.
-        self._behind = False
+        #: Whether the manifest that was written last could not be read, so
+        #: that the one in force is not current.
+        self._last_read_failed = False
         self._reader = ObjectReader(_log, 'gateway')
         self._on_change = on_change
 
     def batch_route(self, spec: JobSpec) -> Route | None:
-        """Return the route of a batch job by the manifest in force."""
+        """Return the route of a batch job in the manifest in force.
+
+        Parameters
+        ----------
+        spec
+            The batch job.
+
+        Returns
+        -------
+        Route or None
+            ``None`` if no manifest is known or no batch route matches.
+        """
         if self.manifest is None:
             return None
         route = self.manifest.match(spec.host, spec.path)
@@ -65,56 +78,64 @@
         return route
 
     def reset(self, listing: Listing) -> None:
-        """Take the listed manifest."""
+        """Apply the manifest in a listing."""
         for stored in listing.objects:
-            self._take(stored)
+            self._apply_manifest(stored)
 
     def apply(self, changes: tuple[Change, ...]) -> None:
-        """Take each manifest that was written."""
+        """Apply each manifest that was written; ignore removals."""
         for change in changes:
             if not change.removed:
-                self._take(change.stored)
+                self._apply_manifest(change.stored)
 
     def interrupted(self) -> None:
-        """Keep the manifest: it stays in force without the store."""
+        """Keep the manifest in force while the store is unreachable."""
 
     def prove(self, proven_at: dt.timedelta) -> None:
-        """Take that all that was written until a moment is known."""
-        if self._behind:
+        """Record that this view was current at a moment.
+
+        Parameters
+        ----------
+        proven_at
+            The moment, as the time since the start of the machine. All that
+            was written before it has been applied.
+        """
+        if self._last_read_failed:
             return
         known = self.proven_at
         self.proven_at = proven_at if known is None else max(known, proven_at)
 
-    def _take(self, stored: StoredObject) -> None:
+    def _apply_manifest(self, stored: StoredObject) -> None:
         if stored.name != MANIFEST_NAME:
             return
-        found = self._reader.read(stored, parse_manifest)
-        self._behind = found is None
-        if found is None:
+        manifest = self._reader.read(stored, parse_manifest)
+        self._last_read_failed = manifest is None
+        if manifest is None:
             return
-        known = self.manifest
-        # A view that was delayed must not undo what callers have seen.
-        if known is not None and found.generation <= known.generation:
+        current = self.manifest
+        # A delayed source may deliver an older manifest. It must not replace
+        # the newer one, by which callers have already been served.
+        if current is not None and manifest.generation <= current.generation:
             return
-        self.manifest = found
+        self.manifest = manifest
         self._startup.learned(Knowledge.MANIFEST)
-        _log.info('gateway: manifest %d in force', found.generation)
+        _log.info('gateway: manifest %d in force', manifest.generation)
         self._on_change()
 
 
 class FleetView:
-    """Feeds registrations of upstreams to the fleet.
+    """View of the stored registrations that keeps the fleet up to date.
 
     Parameters
     ----------
     fleet
-        Who is there.
+        The registered upstreams, which this view updates.
     clock
-        For registrations that lapse while the store is away.
+        The clock that times how long lapsed registrations are kept.
     on_change
-        Called after each change.
+        Called after each listing and after each batch of changes.
     startup
-        Told once they were listed.
+        Notified when the registrations have been listed.
     """
 
     def __init__(
@@ -132,38 +153,42 @@
         self._reader = ObjectReader(_log, 'gateway')
 
     def reset(self, listing: Listing) -> None:
-        """Take all registrations."""
+        """Apply all listed registrations and remove those not listed."""
         for stored in listing.objects:
-            self._put(stored)
+            self._apply_registration(stored)
         present = [RegistrationId(listed.name) for listed in listing.objects]
         for missing in self._fleet.missing_from(present):
-            self._remove(missing)
+            self._remove_registration(missing)
         self._startup.learned(Knowledge.UPSTREAMS)
         self._on_change()
 
     def apply(self, changes: tuple[Change, ...]) -> None:
-        """Take changed registrations."""
+        """Apply changed and removed registrations."""
         for change in changes:
             if change.removed:
-                self._remove(RegistrationId(change.stored.name))
+                self._remove_registration(RegistrationId(change.stored.name))
             else:
-                self._put(change.stored)
+                self._apply_registration(change.stored)
         self._on_change()
 
     def interrupted(self) -> None:
-        """Note that registrations may lapse without cause."""
+        """Record when the store was last found unreachable.
+
+        Registrations of running upstreams may lapse because of it.
+        """
         self._store_failed_at = self._clock.elapsed()
 
-    def _put(self, stored: StoredObject) -> None:
+    def _apply_registration(self, stored: StoredObject) -> None:
         upstream = self._reader.read(stored, parse_upstream)
         if upstream is None:
-            # Failure: another writer puts something under an upstream's
-            # name. Symptom: requests go where nobody says any more that it
-            # is. Its own next entry brings a sound one back.
+            # Failure: another writer stores an unreadable object under the
+            # name of an upstream. Symptom: requests go to an address that no
+            # registration confirms any more. Removing the upstream is enough,
+            # since its own next registration adds it again.
             self._fleet.remove(RegistrationId(stored.name))
             return
         known = self._fleet.registered(upstream.registration)
-        if known is None or _announced(known) != _announced(upstream):
+        if known is None or _logged_fields(known) != _logged_fields(upstream):
             _log.info(
                 'gateway: upstream %s of %s at %s:%d, draining: %s',
                 upstream.upstream,
@@ -174,23 +199,27 @@
             )
         self._fleet.put(upstream)
 
-    def _remove(self, name: RegistrationId) -> None:
+    def _remove_registration(self, name: RegistrationId) -> None:
         now = self._clock.elapsed()
         failed_at = self._store_failed_at
-        if failed_at is not None and now < failed_at + _REGISTER_AGAIN:
-            _log.info('gateway: upstream %s lapsed, kept a while', name)
-            self._fleet.lapse(name, failed_at + _REGISTER_AGAIN)
+        if failed_at is not None and now < failed_at + _REREGISTRATION_GRACE:
+            _log.info(
+                'gateway: registration of upstream %s lapsed, '
+                'kept for a grace period',
+                name,
+            )
+            self._fleet.lapse(name, failed_at + _REREGISTRATION_GRACE)
             return
         _log.info('gateway: upstream %s is gone', name)
         self._fleet.remove(name)
 
 
-class _Announced(NamedTuple):
-    """What of a registration is worth a line in the log."""
+class _LoggedFields(NamedTuple):
+    """Fields of a registration whose changes are logged."""
 
     upstream: UpstreamId
     draining: bool
 
 
-def _announced(upstream: Upstream) -> _Announced:
-    return _Announced(upstream.upstream, upstream.draining)
+def _logged_fields(upstream: Upstream) -> _LoggedFields:
+    return _LoggedFields(upstream.upstream, upstream.draining)
--- a/bergamotdoor/gateway/__init__.py
+++ b/bergamotdoor/gateway/__init__.py
@@ -1,3 +1,3 @@
-"""The entry process: takes callers and trainers, owns batch jobs."""
+"""The entry process: serves callers and trainers, and owns batch jobs."""
 
 from __future__ import annotations
--- a/bergamotdoor/gateway/admission.py
+++ b/bergamotdoor/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Admits requests of client accounts, or answers why not."""
+"""Admission of requests by the client account that sends them."""
 
 from __future__ import annotations
 
@@ -21,74 +21,97 @@
     from bergamotdoor.http.messages import HttpRequest, HttpResponse
     from bergamotdoor.types import AccountId
 
-#: When to come back while the manifest can't be proved: another entry may
-#: know it, and the store is asked again within this.
+#: Retry delay while the manifest can't be proven current. Another entry may
+#: have a proof, and this one queries the store again within this time.
 _UNPROVEN_RETRY_S: Final = 0.5
-_UNPROVEN: Final = 'the manifest may be outdated'
+_UNPROVEN_DETAIL: Final = 'the manifest may be outdated'
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class Admission:
-    """Tells whose request it is.
+    """Decision whether a request is admitted, and for which account.
 
     Parameters
     ----------
     context
-        Which process this is.
+        The shared state of the process.
     manifests
-        Who may ask, and how well that is known.
+        The view of the manifest, which knows when it was last proven
+        current.
     """
 
     def __init__(self, context: Context, manifests: ManifestView) -> None:
         self._context = context
         self._manifests = manifests
-        self._bound = ProofBound(context.settings.revocation)
+        self._proof_bound = ProofBound(context.settings.revocation)
 
     def reader(
         self, request: HttpRequest, manifest: Manifest
     ) -> AccountId | HttpResponse:
-        """Return the account that asks for what is known of a batch job.
+        """Return the account that sends a request about a batch job.
 
-        Nothing runs for it, so a manifest that may be outdated will do.
+        The request runs nothing, so a manifest that may be outdated is good
+        enough.
+
+        Parameters
+        ----------
+        request
+            The request for results or bodies, or to end the job.
+        manifest
+            The manifest in force.
+
+        Returns
+        -------
+        AccountId or HttpResponse
+            The response if the request is denied.
         """
         public = manifest.serves_jobs_publicly(request.headers.first('host'))
-        found = self._identify(request, manifest, public)
-        if isinstance(found, Denial):
-            return self._denied(request, found)
-        return found
+        account = self._identify(request, manifest, public)
+        if isinstance(account, Denial):
+            return self._deny(request, account)
+        return account
 
     def runner(
         self, request: HttpRequest, manifest: Manifest, route: Route
     ) -> AccountId | HttpResponse:
-        """Return the account that wants something to be run.
+        """Return the account for which a call or a batch job may run.
 
         Parameters
         ----------
         request
-            What came.
+            The call, or the submission of the job.
         manifest
-            The one in force.
+            The manifest in force.
         route
-            The request's route.
+            The route of the request.
+
+        Returns
+        -------
+        AccountId or HttpResponse
+            The response if the request is denied, or if the manifest may be
+            outdated.
         """
-        found = self._identify(request, manifest, route.public)
-        if found != NO_ACCOUNT and not self._proven():
-            # Whoever may not know the newest keys can't call one wrong.
-            return self._unproven(request, route)
-        if isinstance(found, Denial):
-            return self._denied(request, found)
-        return found
-
-    def _unproven(self, request: HttpRequest, route: Route) -> HttpResponse:
+        account = self._identify(request, manifest, route.public)
+        if account != NO_ACCOUNT and not self._is_proven():
+            # An outdated manifest may lack new keys, so an unknown key is
+            # not denied as wrong either.
+            return self._refuse_unproven(request, route)
+        if isinstance(account, Denial):
+            return self._deny(request, account)
+        return account
+
+    def _refuse_unproven(
+        self, request: HttpRequest, route: Route
+    ) -> HttpResponse:
         request_id = request.headers.first(names.REQUEST_ID)
         self._context.metrics.count(Counted.REQUEST_UNPROVEN)
-        _log.info('gateway: request %s: %s', request_id, _UNPROVEN)
+        _log.info('gateway: request %s: %s', request_id, _UNPROVEN_DETAIL)
         is_job = route.kind is RouteKind.BATCH
-        wait_s = job_retry_s(request_id) if is_job else _UNPROVEN_RETRY_S
-        return refusal(Verdict.NOT_RUN, _UNPROVEN, request_id, wait_s)
+        retry_s = job_retry_s(request_id) if is_job else _UNPROVEN_RETRY_S
+        return refusal(Verdict.NOT_RUN, _UNPROVEN_DETAIL, request_id, retry_s)
 
-    def _denied(self, request: HttpRequest, denial: Denial) -> HttpResponse:
+    def _deny(self, request: HttpRequest, denial: Denial) -> HttpResponse:
         request_id = request.headers.first(names.REQUEST_ID)
         _log.info('gateway: request %s denied: %s', request_id, denial.value)
         self._context.metrics.count(Counted.REQUEST_DENIED)
@@ -100,7 +123,7 @@
         credentials = credentials_of(request.headers)
         return manifest.accounts.identify(credentials, public)
 
-    def _proven(self) -> bool:
+    def _is_proven(self) -> bool:
         proven_at = self._manifests.proven_at
         now = self._context.clock.uptime()
-        return proven_at is not None and self._bound.holds(proven_at, now)
+        return proven_at is not None and self._proof_bound.holds(proven_at, now)
--- a/bergamotdoor/gateway/batch_front.py
+++ b/bergamotdoor/gateway/batch_front.py
@@ -1,4 +1,4 @@
-"""The trainers' interface: batch jobs, their results and bodies."""
+"""The interface for trainers: batch jobs, their results and item bodies."""
 
 from __future__ import annotations
 
@@ -25,19 +25,29 @@
     from bergamotdoor.steps.jobs_intake import JobsIntake
     from bergamotdoor.types import AccountId
 
-#: The most that a reader is kept waiting for a result.
-_MOST_WAIT_MS: Final = 1000
-#: When to come back while the store can't be reached: outages last for
-#: seconds, and a step has a few to spare.
+#: The longest time that a read waits for a result, whatever it asks for.
+_MAX_READ_WAIT_MS: Final = 1000
+#: Retry delay of requests about a job while the store can't be reached.
+#: Outages last for seconds, and a step has a few seconds to spare.
 _STORE_RETRY_S: Final = 0.5
-_JOB_PATHS: Final = (names.RESULTS_PATH, names.BODY_PATH)
-_JSON: Final = ('content-type', 'application/json')
+_JOB_PATH_PREFIXES: Final = (names.RESULTS_PATH, names.BODY_PATH)
+_JSON_CONTENT_TYPE: Final = ('content-type', 'application/json')
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
 class BatchFront:
-    """Answers trainers."""
+    """Handler of the requests of trainers.
+
+    Parameters
+    ----------
+    intake
+        Stores submitted jobs and ends jobs.
+    desk
+        Reads results and item bodies, whichever entry owns the job.
+    admission
+        Decides which client account sends a request.
+    """
 
     def __init__(
         self, intake: JobsIntake, desk: JobsDesk, admission: Admission
@@ -49,27 +59,53 @@
     async def handle(
         self, request: HttpRequest, manifest: Manifest
     ) -> HttpResponse | None:
-        """Answer a request about a job; None if it is about something else."""
+        """Return the response to a request about an existing job.
+
+        Parameters
+        ----------
+        request
+            Any request of a caller or a trainer.
+        manifest
+            The manifest in force.
+
+        Returns
+        -------
+        HttpResponse or None
+            ``None`` if the path of the request is not about a job.
+        """
         path = request.target.partition('?')[0]
-        asked = next((one for one in _JOB_PATHS if path.startswith(one)), None)
-        if asked is None:
+        prefix = next(
+            (known for known in _JOB_PATH_PREFIXES if path.startswith(known)),
+            None,
+        )
+        if prefix is None:
             return None
         account = self._admission.reader(request, manifest)
         if isinstance(account, HttpResponse):
             return account
-        job = JobId(unquote(path.removeprefix(asked)))
-        owner = await self._desk.account_of(job)
-        if isinstance(owner, Outcome):
-            return _missing(job, owner)
-        if not manifest.accounts.may_see(account, owner):
-            _log.info('gateway: job %s: asked for by another account', job)
-            return _missing(job, Outcome.ABSENT)
-        return await self._asked(request, asked, job)
+        job = JobId(unquote(path.removeprefix(prefix)))
+        job_account = await self._desk.account_of(job)
+        if isinstance(job_account, Outcome):
+            return _lookup_failure(job, job_account)
+        if not manifest.accounts.may_see(account, job_account):
+            _log.info('gateway: job %s: requested by another account', job)
+            return _lookup_failure(job, Outcome.ABSENT)
+        return await self._handle_job_request(request, prefix, job)
 
     async def submit(
         self, request: HttpRequest, body: bytes, account: AccountId
     ) -> HttpResponse:
-        """Take a job of a client account in."""
+        """Store a job and return the response to its submission.
+
+        Parameters
+        ----------
+        request
+            The submission; its request id is the id of the job.
+        body
+            The whole body of the request.
+        account
+            The client account that owns the job.
+        """
         job = JobId(request.headers.first(names.REQUEST_ID))
         path = request.target.partition('?')[0]
         host = request.headers.first('host')
@@ -91,63 +127,67 @@
             return plain(HTTPStatus.CONFLICT, 'a job of another account', job)
         if outcome is Outcome.UNCLEAR:
             return refusal(Verdict.MAY_HAVE_RUN, 'perhaps kept', job)
-        return _store_away(job, job_retry_s(job))
+        return _store_unavailable(job, job_retry_s(job))
 
-    async def _asked(
-        self, request: HttpRequest, asked: str, job: JobId
+    async def _handle_job_request(
+        self, request: HttpRequest, prefix: str, job: JobId
     ) -> HttpResponse:
         query = request.target.partition('?')[-1]
-        if asked == names.BODY_PATH:
-            return await self._body(job, query)
+        if prefix == names.BODY_PATH:
+            return await self._read_body(job, query)
         if request.method == 'DELETE':
-            return await self._end(job)
-        return await self._listed(job, query, request.headers)
+            return await self._end_job(job)
+        return await self._read_results(job, query, request.headers)
 
-    async def _listed(
+    async def _read_results(
         self, job: JobId, query: str, headers: Headers
     ) -> HttpResponse:
         after = number_of(parse_qs(query).get('after', ['0'])[0])
-        wait_ms = min(number_of(headers.first(names.WAIT_MS)), _MOST_WAIT_MS)
-        found = await self._desk.read(job, after, utils.from_ms(wait_ms))
-        if isinstance(found, Outcome):
-            return _missing(job, found)
+        wait_ms = min(
+            number_of(headers.first(names.WAIT_MS)), _MAX_READ_WAIT_MS
+        )
+        page = await self._desk.read(job, after, utils.from_ms(wait_ms))
+        if isinstance(page, Outcome):
+            return _lookup_failure(job, page)
         return HttpResponse(
             status=int(HTTPStatus.OK),
-            headers=Headers.of([_JSON]),
-            body=results_body(found.total, after, found.results),
+            headers=Headers.of([_JSON_CONTENT_TYPE]),
+            body=results_body(page.total, after, page.results),
         )
 
-    async def _body(self, job: JobId, query: str) -> HttpResponse:
+    async def _read_body(self, job: JobId, query: str) -> HttpResponse:
         item = ItemId(parse_qs(query).get('id', [''])[0])
-        found = await self._desk.body(job, item)
-        if isinstance(found, Outcome):
-            return _missing(job, found)
-        return HttpResponse(status=int(HTTPStatus.OK), body=found)
+        body = await self._desk.body(job, item)
+        if isinstance(body, Outcome):
+            return _lookup_failure(job, body)
+        return HttpResponse(status=int(HTTPStatus.OK), body=body)
 
-    async def _end(self, job: JobId) -> HttpResponse:
+    async def _end_job(self, job: JobId) -> HttpResponse:
         outcome = await self._intake.end(job)
         _log.info(
-            'gateway: job %s: end asked for: %s',
+            'gateway: job %s: end requested: %s',
             job,
             'kept' if outcome is None else outcome.value,
         )
         if outcome is None:
             return plain(HTTPStatus.OK, 'ended', job)
-        return _missing(job, outcome)
+        return _lookup_failure(job, outcome)
 
 
-def _missing(job: JobId, outcome: Outcome) -> HttpResponse:
+def _lookup_failure(job: JobId, outcome: Outcome) -> HttpResponse:
     if outcome is Outcome.ABSENT:
         _log.info('gateway: job %s: there is no such job or item', job)
         return plain(HTTPStatus.NOT_FOUND, 'not found')
     _log.info('gateway: job %s: not known now: %s', job, outcome.value)
-    return _store_away(job)
+    return _store_unavailable(job)
 
 
-def _store_away(job: JobId, wait_s: float = _STORE_RETRY_S) -> HttpResponse:
-    return refusal(Verdict.NOT_RUN, 'the store is away', job, wait_s)
+def _store_unavailable(
+    job: JobId, retry_s: float = _STORE_RETRY_S
+) -> HttpResponse:
+    return refusal(Verdict.NOT_RUN, 'the store is away', job, retry_s)
 
 
 def number_of(text: str) -> int:
-    """Return a number that a client sent; 0 if it is none."""
+    """Return the number in a client's text, 0 if it is not a number."""
     return int(text) if text.isdecimal() else 0
--- a/bergamotdoor/gateway/call_front.py
+++ b/bergamotdoor/gateway/call_front.py
@@ -1,4 +1,4 @@
-"""The callers' interface: plain requests, which are forwarded at once."""
+"""The interface for callers: plain requests, forwarded while they wait."""
 
 from __future__ import annotations
 
@@ -23,25 +23,47 @@
 
 
 class CallFront:
-    """Answers callers."""
+    """Handler of the plain calls of callers.
+
+    Parameters
+    ----------
+    context
+        The shared state of the process.
+    counter
+        Counts the calls of each client account; ``None`` if this entry does
+        not report usage.
+    """
 
     def __init__(self, context: Context, counter: UsageCounter | None) -> None:
         self._forwarder = Forwarder(context)
         self._counter = counter
 
     async def answer(self, call: Call, account: AccountId) -> HttpResponse:
-        """Return an upstream's answer, or why there is none."""
-        outcome = await self._forward(call, account)
-        if outcome.answer is not None:
-            return outcome.answer
-        wait = outcome.retry_after
-        if wait is None:
-            return refusal(outcome.verdict, outcome.detail, call.request_id)
+        """Forward a call and return its response.
+
+        Parameters
+        ----------
+        call
+            The call to forward.
+        account
+            The client account that sends it.
+
+        Returns
+        -------
+        HttpResponse
+            The response of an upstream, or a refusal if there is none.
+        """
+        attempt = await self._forward(call, account)
+        if attempt.answer is not None:
+            return attempt.answer
+        retry_after = attempt.retry_after
+        if retry_after is None:
+            return refusal(attempt.verdict, attempt.detail, call.request_id)
         return refusal(
-            outcome.verdict,
-            outcome.detail,
+            attempt.verdict,
+            attempt.detail,
             call.request_id,
-            wait.total_seconds(),
+            retry_after.total_seconds(),
         )
 
     async def _forward(self, call: Call, account: AccountId) -> Attempt:
@@ -61,24 +83,26 @@
     route: Route,
     began: dt.timedelta,
 ) -> Call:
-    """Return what is to be forwarded of a request.
+    """Return the call to forward for a caller's request.
 
     Parameters
     ----------
     request
-        As the caller sent it.
+        The request as the caller sent it.
     headers
-        Those of its fields that upstreams get.
+        The header fields to forward.
     body
-        All of it.
+        The whole body of the request.
     route
-        Where it goes.
+        The route of the request.
     began
-        When it came, in the clock's time.
+        When the request was received, in the clock's monotonic time.
     """
-    wait_ms = number_of(request.headers.first(names.DEADLINE_MS))
-    wait = (
-        min(utils.from_ms(wait_ms), route.timeout) if wait_ms else route.timeout
+    timeout_ms = number_of(request.headers.first(names.DEADLINE_MS))
+    timeout = (
+        min(utils.from_ms(timeout_ms), route.timeout)
+        if timeout_ms
+        else route.timeout
     )
     return Call(
         request_id=request.headers.first(names.REQUEST_ID),
@@ -87,6 +111,6 @@
         headers=headers,
         body=body,
         route=route,
-        rules=CallRules.of_caller(route, began + wait),
+        rules=CallRules.of_caller(route, began + timeout),
         began=began,
     )
--- a/bergamotdoor/gateway/credentials.py
+++ b/bergamotdoor/gateway/credentials.py
@@ -1,4 +1,4 @@
-"""Reads which client account a request claims to be of."""
+"""Credentials and account names in the header fields of requests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 _AUTHORIZATION: Final = 'authorization'
 
-#: Schemes ignore case.
+#: The authentication scheme, in lower case; clients may write it in any case.
 _SCHEME: Final = 'bearer'
 
 
 def credentials_of(headers: Headers) -> Credentials:
-    """Return what a request says of who sends it."""
+    """Return the credentials in the header fields of a request."""
     texts = [field.value for field in headers if field.name == _AUTHORIZATION]
     schemes = [text.strip().partition(' ') for text in texts]
     keys = tuple(
@@ -33,32 +33,42 @@
 
 
 def named_account(headers: Headers, account: AccountId, keyed: bool) -> Headers:
-    """Return the fields that tell an upstream whose request it is.
+    """Return the header fields that are forwarded to an upstream.
 
-    Whatever the client claimed goes, and so does its key.
+    They name the client account that sends the request. An account name that
+    the client wrote itself is dropped, and so is its key.
 
     Parameters
     ----------
     headers
-        As the client sent them.
+        The header fields as the client sent them.
     account
-        Whose request it is; empty is nobody's.
+        The client account that sends the request; empty if there is none.
     keyed
-        Whether client accounts are in force. Where they are not, credentials
-        are the upstream's own business.
+        Whether client accounts are in force. If they are not, credentials
+        are meant for the upstream and are forwarded.
     """
-    passed = headers.without(_claims(keyed))
+    passed = headers.without(_claim_fields(keyed))
     return passed.plus((ACCOUNT, account)) if account else passed
 
 
 def job_of_account(spec: JobSpec, account: AccountId) -> JobSpec:
-    """Return a job as its account's, without what its items say of that."""
-    dropped = _claims(keyed=bool(account))
-    items = tuple(_without(item, dropped) for item in spec.items)
+    """Return a job with its account set and its items' claims dropped.
+
+    Parameters
+    ----------
+    spec
+        The job as the trainer submitted it. The header fields of its items
+        may name another account or hold a key.
+    account
+        The client account that owns the job; empty if there is none.
+    """
+    dropped = _claim_fields(keyed=bool(account))
+    items = tuple(_drop_fields(item, dropped) for item in spec.items)
     return msgspec.structs.replace(spec, items=items, account=account)
 
 
-def _without(item: ItemSpec, dropped: tuple[str, ...]) -> ItemSpec:
+def _drop_fields(item: ItemSpec, dropped: tuple[str, ...]) -> ItemSpec:
     headers = tuple(
         (name, text)
         for name, text in item.headers
@@ -67,6 +77,6 @@
     return msgspec.structs.replace(item, headers=headers)
 
 
-def _claims(keyed: bool) -> tuple[str, ...]:
-    """Return the fields in which a client says who it is."""
+def _claim_fields(keyed: bool) -> tuple[str, ...]:
+    """Return the names of the fields in which a client states its account."""
     return (ACCOUNT, _AUTHORIZATION) if keyed else (ACCOUNT,)
--- a/bergamotdoor/gateway/daemon.py
+++ b/bergamotdoor/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""One entry process: its servers, watches and their order of life."""
+"""One entry process: the start and stop of its servers and tasks."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
     from bergamotdoor.settings.document import Address
     from bergamotdoor.settings.node import NodeSettings
 
-#: The balancer asks once a second and gives up after two refusals. Until
-#: then new callers still come.
-_LAME_DUCK_S: Final = 2.2
-_LAME_DUCK: Final = dt.timedelta(seconds=_LAME_DUCK_S)
-#: Kept of the grace for the last writes.
+#: How long a stopping entry still serves new callers. The balancer probes its
+#: readiness once a second and stops sending callers after two failed probes.
+_ROTATION_EXIT_S: Final = 2.2
+_ROTATION_EXIT: Final = dt.timedelta(seconds=_ROTATION_EXIT_S)
+#: The part of the grace period that is reserved for the last writes.
 _STOP_MARGIN_S: Final = 1.5
 _STOP_MARGIN: Final = dt.timedelta(seconds=_STOP_MARGIN_S)
-_RESUME_PAUSE_MS: Final = 300
-_RESUME_PAUSE: Final = dt.timedelta(milliseconds=_RESUME_PAUSE_MS)
-_EXPIRY_TICK_MS: Final = 500
-_EXPIRY_TICK: Final = dt.timedelta(milliseconds=_EXPIRY_TICK_MS)
+_RESUME_RETRY_MS: Final = 300
+_RESUME_RETRY: Final = dt.timedelta(milliseconds=_RESUME_RETRY_MS)
+_EXPIRY_INTERVAL_MS: Final = 500
+_EXPIRY_INTERVAL: Final = dt.timedelta(milliseconds=_EXPIRY_INTERVAL_MS)
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
@@ -47,11 +47,12 @@
     Parameters
     ----------
     settings
-        What the platform says of this process.
+        The settings that the platform gives this process.
     clock
-        The time.
+        The clock of the process; ``None`` uses the event loop's.
     listening
-        A socket that listens for callers already.
+        A socket that already listens for callers; ``None`` if the process
+        opens one.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
             settings, self._access, self._client, self._clock
         )
         self._manifests = ManifestView(
-            self._manifest_changed, self._context.startup
+            self._on_manifest_change, self._context.startup
         )
         self._parts = JobParts(
             self._context, self._access, self._manifests, self._tasks
@@ -85,7 +86,10 @@
         self._servers = Servers(self, self._clock, listening)
 
     async def start(self) -> None:
-        """Serve; not ready before manifest and upstreams are known."""
+        """Start the servers and the background tasks.
+
+        Readiness probes fail until a manifest and an upstream are known.
+        """
         _log.info('gateway: %s starts', self._settings.node)
         await self._servers.start()
         self._parts.owner.start()
@@ -98,67 +102,83 @@
         )
         self._tasks.start(self._resume_jobs())
         self._tasks.start(self._expire_upstreams())
-        self._start_sharing()
+        self._start_peer_tasks()
 
     async def stop(self) -> None:
-        """Leave the balancer's rotation, finish what is open, end."""
+        """Stop as planned, within the grace period.
+
+        The entry first leaves the balancer's rotation and hands over its
+        jobs, then completes the calls that are in progress.
+        """
         _log.info('gateway: %s stops', self._settings.node)
-        until = self._clock.elapsed() + self._settings.grace - _STOP_MARGIN
+        stop_by = self._clock.elapsed() + self._settings.grace - _STOP_MARGIN
         await self._leave_rotation()
-        # Handing jobs on may have taken longer than the lame duck.
-        left = until - self._clock.elapsed()
-        await self._servers.callers.stop(max(left, dt.timedelta()))
+        # Handing over the jobs may have taken longer than _ROTATION_EXIT.
+        drain = stop_by - self._clock.elapsed()
+        await self._servers.callers.stop(max(drain, dt.timedelta()))
         if self._parts.usage is not None:
             await self._parts.usage.close()
-        await self._end()
+        await self._shut_down()
 
     def use_settings(self, settings: NodeSettings) -> None:
-        """Take the store's address and the bounds of changed settings."""
+        """Apply changed settings while the process runs.
+
+        Parameters
+        ----------
+        settings
+            The new settings, of which the store's address and the bounds
+            take effect.
+        """
         self._access.use_settings(settings)
         self._settings = settings
 
     async def kill(self) -> None:
-        """End at once, as a crash would; for tests."""
+        """Stop at once without a drain, as a crash would; for tests only."""
         await self._parts.owner.stop()
         await self._tasks.stop()
         await self._servers.callers.stop(dt.timedelta())
-        await self._end()
+        await self._shut_down()
 
     async def callers(self, request: HttpRequest) -> HttpResponse:
-        """Answer a caller."""
+        """Return the response to a caller or a trainer."""
         return await self._parts.front.handle(request)
 
     async def readiness(self, request: HttpRequest) -> HttpResponse:
-        """Tell the balancer whether to send callers here."""
+        """Return whether the balancer may send callers to this entry."""
         known = self._manifests.manifest is not None
         upstreams = len(self._context.fleet) > 0
         return readiness(known and upstreams and not self._stopping)
 
     async def inspection(self, request: HttpRequest) -> HttpResponse:
-        """Show metrics and state."""
+        """Return the metrics or the state of this process."""
         return await self._inspector.handle(request)
 
     async def other_entries(self, request: HttpRequest) -> HttpResponse:
-        """Answer another process of the system."""
+        """Return the response to another process of the system."""
         return await serve_peer(request, self._parts.peer_service.handle)
 
     def address_of(self, name: str) -> Address:
-        """Return where one of the servers listens.
+        """Return the address on which the server of a handler listens.
+
+        Parameters
+        ----------
+        name
+            The name of the handler, such as ``'callers'``.
 
         Raises
         ------
         ValueError
-            If the settings name no address for it.
+            If the settings have no address for this server.
         """
-        found = {
+        address = {
             'callers': self._settings.callers,
             'readiness': self._settings.readiness,
             'other_entries': self._context.own_address,
             'inspection': self._context.settings.inspection,
         }[name]
-        if found is None:
+        if address is None:
             raise ValueError(f'settings: no address for {name}')
-        return found
+        return address
 
     async def _leave_rotation(self) -> None:
         self._stopping = True
@@ -167,16 +187,16 @@
         began = self._clock.elapsed()
         await self._parts.hand_over.run()
         spent = self._clock.elapsed() - began
-        await self._clock.sleep(_LAME_DUCK - spent)
+        await self._clock.sleep(_ROTATION_EXIT - spent)
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         await self._parts.owner.stop()
         await self._tasks.stop()
         await self._servers.stop_inner()
         await self._client.close()
 
-    def _start_sharing(self) -> None:
-        """Know the other entries, and share with them what all must know."""
+    def _start_peer_tasks(self) -> None:
+        """Start the tasks that find the other entries and share state."""
         directory = self._access.directory
         self._tasks.start(directory.register(self._context.own_entry))
         self._tasks.start(directory.run())
@@ -184,7 +204,7 @@
         if self._parts.usage is not None:
             self._tasks.start(self._parts.usage.run())
 
-    def _manifest_changed(self) -> None:
+    def _on_manifest_change(self) -> None:
         manifest = self._manifests.manifest
         if manifest is not None:
             self._servers.callers.use_limits(caller_limits(manifest.limits))
@@ -194,9 +214,9 @@
 
     async def _resume_jobs(self) -> None:
         while not await self._parts.resume():
-            await self._clock.sleep(_RESUME_PAUSE)
+            await self._clock.sleep(_RESUME_RETRY)
 
     async def _expire_upstreams(self) -> None:
         while True:
-            await self._clock.sleep(_EXPIRY_TICK)
+            await self._clock.sleep(_EXPIRY_INTERVAL)
             self._context.fleet.expire(self._clock.elapsed())
--- a/bergamotdoor/gateway/following.py
+++ b/bergamotdoor/gateway/following.py
@@ -1,4 +1,4 @@
-"""Follows what the operator and the upstreams write to the store."""
+"""Watches on the manifest and the upstreams in the platform's store."""
 
 from __future__ import annotations
 
@@ -15,22 +15,24 @@
     from bergamotdoor.steps.owner import JobOwner
     from bergamotdoor.tasks import Tasks
 
-#: Changes of upstreams are gathered for this share of the time in which
-#: new work must stop going to one that leaves: every engine's new version
-#: is such a change, and each would end a watch of every entry.
-_DRAIN_SHARE: Final = 0.5
-#: The rules hold again ``contact_ms`` after the store was in trouble; a
-#: watch must be known as deaf by then, and the kind be listed.
-_LISTING_TIME_MS: Final = 500
-_LISTING_TIME: Final = dt.timedelta(milliseconds=_LISTING_TIME_MS)
-#: A manifest must be in force within two seconds, and callers notice the
-#: first entry that has it.
-_GATHER_MANIFEST_MS: Final = 20
-_GATHER_MANIFEST: Final = dt.timedelta(milliseconds=_GATHER_MANIFEST_MS)
-#: How often a manifest is proved current, as a share of the time within
-#: which revoked keys must stop working. A proof is twice as old before the
-#: next one comes, and what is left is for a store that is away.
-_PROOF_SHARE: Final = 0.2
+#: How long changes of upstreams are gathered, as a share of the time within
+#: which new work must stop going to a draining upstream. Each new version of
+#: an engine is such a change too, and would end a watch of every entry.
+_FLEET_GATHER_SHARE: Final = 0.5
+#: The platform's rules hold again ``contact_ms`` after trouble with the
+#: store. By then a watch that receives nothing must have been replaced and
+#: the kind listed; this much of that time is reserved for the listing.
+_LISTING_RESERVE_MS: Final = 500
+_LISTING_RESERVE: Final = dt.timedelta(milliseconds=_LISTING_RESERVE_MS)
+#: How long changes of the manifest are gathered. A manifest must be in force
+#: within two seconds, and callers notice the first entry that has it.
+_MANIFEST_GATHER_MS: Final = 20
+_MANIFEST_GATHER: Final = dt.timedelta(milliseconds=_MANIFEST_GATHER_MS)
+#: How often the manifest is proven current, as a share of the time within
+#: which revoked keys must stop working. A proof dates from the start of its
+#: watch, so it is two intervals old when the next one arrives; the rest of
+#: the time is left for an unreachable store.
+_PROOF_INTERVAL_SHARE: Final = 0.2
 
 
 def follow_platform(
@@ -40,16 +42,30 @@
     owner: JobOwner,
     tasks: Tasks,
 ) -> None:
-    """Keep manifest and upstreams up to date from now on."""
-    gather = context.settings.drain * _DRAIN_SHARE
-    wait = context.settings.contact - _LISTING_TIME
+    """Start the tasks that keep the manifest and the upstreams up to date.
+
+    Parameters
+    ----------
+    context
+        The shared state of the process; its fleet is kept up to date.
+    news
+        The source of the changes in the store.
+    manifests
+        The view of the manifest to keep up to date.
+    owner
+        The owner of this entry's batch jobs, notified of changed upstreams.
+    tasks
+        The background tasks of the process.
+    """
+    gather = context.settings.drain * _FLEET_GATHER_SHARE
+    wait = context.settings.contact - _LISTING_RESERVE
     fleet = FleetView(context.fleet, context.clock, owner.poke, context.startup)
     revocation = context.settings.revocation
-    proof = None if revocation is None else revocation * _PROOF_SHARE
+    proof = None if revocation is None else revocation * _PROOF_INTERVAL_SHARE
     manifest_watcher = Watcher(
         context.store,
         news,
-        Watch(names.MANIFEST_KIND, _GATHER_MANIFEST, wait, proof),
+        Watch(names.MANIFEST_KIND, _MANIFEST_GATHER, wait, proof),
         manifests,
         context.clock,
         manifests.prove,
--- a/bergamotdoor/gateway/front.py
+++ b/bergamotdoor/gateway/front.py
@@ -1,4 +1,4 @@
-"""The callers' interface: plain requests and batch jobs."""
+"""The entry's interface for callers and trainers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,21 @@
 
 
 class Front:
-    """Hands each request to the part that serves it."""
+    """Router from each request to the handler of calls or of batch jobs.
+
+    Parameters
+    ----------
+    context
+        The shared state of the process.
+    manifests
+        The view of the manifest, which holds the routes.
+    admission
+        Decides which client account sends a request.
+    calls
+        The handler of plain calls.
+    batches
+        The handler of batch jobs.
+    """
 
     def __init__(
         self,
@@ -45,45 +59,51 @@
         self._batches = batches
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Return the response to a request of a caller or a trainer.
+
+        Parameters
+        ----------
+        request
+            The request; its body has not been read yet.
+        """
         await self._context.startup.wait()
         manifest = self._manifests.manifest
         if manifest is None:
             return refusal(Verdict.NOT_RUN, 'no manifest is known yet')
-        answer = await self._batches.handle(request, manifest)
-        return answer or await self._routed(request, manifest)
+        response = await self._batches.handle(request, manifest)
+        return response or await self._handle_routed(request, manifest)
 
-    async def _routed(
+    async def _handle_routed(
         self, request: HttpRequest, manifest: Manifest
     ) -> HttpResponse:
         host = request.headers.first('host')
         route = manifest.match(host, request.target)
         if route is None:
-            return self._without_route(request, manifest)
+            return self._refuse_without_route(request, manifest)
         account = self._admission.runner(request, manifest, route)
         if isinstance(account, HttpResponse):
             return account
-        return await self._admitted(request, manifest, route)
+        return await self._handle_admitted(request, manifest, route)
 
-    async def _admitted(
+    async def _handle_admitted(
         self, request: HttpRequest, manifest: Manifest, route: Route
     ) -> HttpResponse:
         began = self._context.clock.elapsed()
         body = await request.read_body(manifest.limits.max_body_bytes)
-        # The key may have been taken away while the body came.
-        newest = self._manifests.manifest or manifest
-        account = self._admission.runner(request, newest, route)
+        # The key may have been revoked while the body was received.
+        newest_manifest = self._manifests.manifest or manifest
+        account = self._admission.runner(request, newest_manifest, route)
         if isinstance(account, HttpResponse):
             return account
         if route.kind is RouteKind.BATCH and request.method == 'POST':
             return await self._batches.submit(request, body, account)
         headers = named_account(
-            request.headers, account, keyed=bool(newest.accounts)
+            request.headers, account, keyed=bool(newest_manifest.accounts)
         )
         call = call_of(request, headers, body, route, began)
         return await self._calls.answer(call, account)
 
-    def _without_route(
+    def _refuse_without_route(
         self, request: HttpRequest, manifest: Manifest
     ) -> HttpResponse:
         request_id = request.headers.first(names.REQUEST_ID)
--- a/bergamotdoor/gateway/inspection.py
+++ b/bergamotdoor/gateway/inspection.py
@@ -1,4 +1,4 @@
-"""Metrics and the state of a process, on request."""
+"""Metrics and state of an entry process, shown on request."""
 
 from __future__ import annotations
 
@@ -29,7 +29,14 @@
 
 
 class UpstreamState(msgspec.Struct, frozen=True):
-    """What an entry thinks of one upstream."""
+    """State of one upstream as an entry sees it.
+
+    ``in_flight`` counts the requests that this entry has sent there, and
+    ``busy`` estimates all requests that the upstream has. A ``resting``
+    upstream gets no requests for a while, since it refused or failed some.
+    ``event_interval_s`` is the time between two events of an item, in
+    seconds, and ``versions`` holds the weight version of each model.
+    """
 
     upstream: UpstreamId
     service: str
@@ -42,7 +49,11 @@
 
 
 class JobState(msgspec.Struct, frozen=True):
-    """How far a job is that this entry owns."""
+    """Progress of a job that this entry owns.
+
+    ``items`` counts all items of the job, ``listed`` those with a listed
+    result and ``running`` those that run at an engine.
+    """
 
     job: JobId
     term: int
@@ -56,9 +67,10 @@
     """A request that an entry suspects of ending upstreams."""
 
     fingerprint: Fingerprint
-    #: Upstreams that ended under it in a chain.
+    #: How many upstreams ended under the request in a chain.
     strikes: int
-    #: For how long a call is held back; an item is from one strike more on.
+    #: How long a call is still held back, in seconds. An item is held back
+    #: from one strike more on.
     rest_s: float
 
 
@@ -68,18 +80,34 @@
     generation: Generation | None
     upstreams: tuple[UpstreamState, ...]
     jobs: tuple[JobState, ...]
-    #: Calls of the store since the start, the most frequent first.
+    #: Counts of calls to the store since the start, most frequent first.
     store_calls: tuple[StoreCalls, ...] = ()
-    #: Those that rest longest first.
+    #: Suspected requests, those held back for the longest time first.
     quarantine: tuple[QuarantinedState, ...] = ()
-    #: How long ago the manifest was known to be current; None is never.
+    #: How long ago the manifest was last known to be current, in seconds;
+    #: ``None`` if it never was.
     manifest_proof_s: float | None = None
-    #: Who reports usage; None where nobody does, or is not known to.
+    #: The duty to report usage; ``None`` if usage is not reported or the
+    #: holder of the duty is not known.
     duty: DutyState | None = None
 
 
 class GatewayInspector:
-    """Shows an entry's metrics and state."""
+    """Handler of requests for an entry's metrics and state.
+
+    Parameters
+    ----------
+    context
+        The shared state of the process.
+    manifests
+        The view of the manifest.
+    owner
+        The owner of this entry's batch jobs.
+    store_calls
+        The counts of calls to the store.
+    usage
+        The usage reporting; ``None`` if this entry does not report usage.
+    """
 
     def __init__(
         self,
@@ -98,7 +126,7 @@
         self._dumps.register('gateway', self)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer with metrics or state."""
+        """Return the metrics, the state, or 404 for any other path."""
         if request.target == METRICS_PATH:
             text = exposition(
                 self._context.metrics.snapshot(), self._store_calls
@@ -113,25 +141,25 @@
         return plain(HTTPStatus.NOT_FOUND, 'metrics or state')
 
     def dump(self) -> GatewayState:
-        """Return the state now."""
+        """Return the present state."""
         manifest = self._manifests.manifest
         return GatewayState(
             None if manifest is None else manifest.generation,
-            tuple(self._upstreams()),
-            tuple(self._jobs()),
+            tuple(self._collect_upstreams()),
+            tuple(self._collect_jobs()),
             tuple(self._store_calls),
-            tuple(self._quarantined()),
-            self._proof_s(),
+            tuple(self._collect_quarantined()),
+            self._proof_age_s(),
             None if self._usage is None else self._usage.state,
         )
 
-    def _proof_s(self) -> float | None:
+    def _proof_age_s(self) -> float | None:
         proven_at = self._manifests.proven_at
         if proven_at is None:
             return None
         return (self._context.clock.uptime() - proven_at).total_seconds()
 
-    def _quarantined(self) -> list[QuarantinedState]:
+    def _collect_quarantined(self) -> list[QuarantinedState]:
         now = self._context.clock.elapsed()
         quarantine = self._context.quarantine
         states = [
@@ -144,7 +172,7 @@
         ]
         return sorted(states, key=lambda state: state.rest_s, reverse=True)
 
-    def _upstreams(self) -> list[UpstreamState]:
+    def _collect_upstreams(self) -> list[UpstreamState]:
         now = self._context.clock.elapsed()
         states = []
         for upstream in self._context.fleet:
@@ -167,7 +195,7 @@
             )
         return states
 
-    def _jobs(self) -> list[JobState]:
+    def _collect_jobs(self) -> list[JobState]:
         return [
             JobState(
                 run.spec.job,
--- a/bergamotdoor/gateway/limits.py
+++ b/bergamotdoor/gateway/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what clients may send."""
+"""Limits on what clients may send."""
 
 from __future__ import annotations
 
@@ -10,12 +10,19 @@
 if TYPE_CHECKING:
     from bergamotdoor.calls.manifest import CallerLimits
 
-#: Other entries and the balancer: small, trusted, and kept open.
+#: Limits for other entries and the balancer, which are trusted, send small
+#: requests and keep their connections open.
 INNER_LIMITS: Final = HttpLimits()
 
 
 def caller_limits(limits: CallerLimits) -> HttpLimits:
-    """Return the bounds that the manifest sets for callers."""
+    """Return the limits of the HTTP server for callers.
+
+    Parameters
+    ----------
+    limits
+        The limits in the manifest.
+    """
     return HttpLimits(
         max_header_bytes=limits.max_header_bytes,
         header_timeout_ms=utils.to_ms(limits.header_timeout),
--- a/bergamotdoor/gateway/refusals.py
+++ b/bergamotdoor/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Answers that the entry makes itself."""
+"""Responses that the entry itself makes."""
 
 from __future__ import annotations
 
@@ -10,19 +10,32 @@
 from bergamotdoor.platform.headers import REQUEST_ID, RETRY_AFTER
 from bergamotdoor.verdict import Verdict
 
-#: After a refusal for lack of an upstream: a rest of a refusing upstream.
+#: Retry delay after a refusal because no upstream is available: as long as
+#: an upstream that has refused a request gets no further one.
 RETRY_AFTER_S: Final = 0.3
-#: When to hand a job in again: trainers come again once or twice, outages
-#: last for seconds, and a step is due some seconds after it can be run. They
-#: are spread, so that a store that is back gets not all of them at once.
+#: Shortest retry delay of a refused job. Trainers retry once or twice,
+#: outages last for seconds, and a step is due some seconds after it can run.
 _JOB_RETRY_S: Final = 2
-_SPREAD_MS: Final = 1000
+#: The retries of jobs are spread over this time, so that a store that has
+#: recovered does not get all of them at once.
+_JOB_RETRY_SPREAD_MS: Final = 1000
 _MS_PER_S: Final = 1000
 
 
 def job_retry_s(job: str) -> float:
-    """Return when a job may come again that needs the store."""
-    spread_ms = utils.hrw_weight(job, 'retry') % _SPREAD_MS
+    """Return the retry delay of a job that the store could not take.
+
+    Parameters
+    ----------
+    job
+        The id of the job, from which its share of the spread is derived.
+
+    Returns
+    -------
+    float
+        The delay in seconds.
+    """
+    spread_ms = utils.hrw_weight(job, 'retry') % _JOB_RETRY_SPREAD_MS
     return _JOB_RETRY_S + spread_ms / _MS_PER_S
 
 
@@ -32,10 +45,19 @@
     request_id: str = '',
     retry_after_s: float = RETRY_AFTER_S,
 ) -> HttpResponse:
-    """Tell that there is no answer.
+    """Return the response to a request that no upstream has answered.
 
-    503 promises that the request did not run and never will; 504 promises
-    nothing.
+    Parameters
+    ----------
+    verdict
+        Whether the request may have run. The status is 503 if it did not
+        and never will, and 504, which promises nothing, otherwise.
+    detail
+        One sentence for a person: why there is no response.
+    request_id
+        The id of the request; empty if it has none.
+    retry_after_s
+        The retry delay in seconds, sent with 503 only.
     """
     if verdict is Verdict.NOT_RUN:
         return plain(
@@ -45,7 +67,13 @@
 
 
 def readiness(ready: bool) -> HttpResponse:
-    """Tell the balancer whether to send callers here."""
+    """Return the response to a readiness probe of the balancer.
+
+    Parameters
+    ----------
+    ready
+        Whether the balancer may send callers to this entry.
+    """
     if ready:
         return plain(HTTPStatus.OK, 'ready')
     return plain(HTTPStatus.SERVICE_UNAVAILABLE, 'not ready')
@@ -57,7 +85,19 @@
     request_id: str = '',
     retry_after_s: float | None = None,
 ) -> HttpResponse:
-    """Return a short text."""
+    """Return a response with a short text as its body.
+
+    Parameters
+    ----------
+    status
+        The status code.
+    detail
+        The text.
+    request_id
+        The id of the request; empty if it has none.
+    retry_after_s
+        The retry delay in seconds; ``None`` if the response has none.
+    """
     fields = [('content-type', 'text/plain')]
     if request_id:
         fields.append((REQUEST_ID, request_id))
--- a/bergamotdoor/gateway/servers.py
+++ b/bergamotdoor/gateway/servers.py
@@ -1,4 +1,4 @@
-"""The addresses that an entry listens on."""
+"""The HTTP servers of an entry process."""
 
 from __future__ import annotations
 
@@ -18,35 +18,36 @@
 
 
 class Listening(Protocol):
-    """What answers at the addresses."""
+    """Handlers of the HTTP servers; each server is named after its handler."""
 
     async def callers(self, request: HttpRequest) -> HttpResponse:
-        """Answer a caller."""
+        """Return the response to a caller or a trainer."""
 
     async def readiness(self, request: HttpRequest) -> HttpResponse:
-        """Tell the balancer whether to send callers here."""
+        """Return whether the balancer may send callers to this entry."""
 
     async def other_entries(self, request: HttpRequest) -> HttpResponse:
-        """Answer another process of the system."""
+        """Return the response to another process of the system."""
 
     async def inspection(self, request: HttpRequest) -> HttpResponse:
-        """Show metrics and state."""
+        """Return the metrics or the state of this process."""
 
     def address_of(self, name: str) -> Address:
-        """Return where one of these listens."""
+        """Return the address on which the server of a handler listens."""
 
 
 class Servers:
-    """The addresses that an entry listens on.
+    """HTTP servers of an entry process, one for each handler.
 
     Parameters
     ----------
     daemon
-        What answers.
+        The handlers and the addresses of the servers.
     clock
-        The time.
+        The clock of the process.
     listening
-        A socket that listens for callers already.
+        A socket that already listens for callers; ``None`` if the server
+        for callers opens one.
     """
 
     def __init__(
@@ -55,26 +56,26 @@
         clock: Clock,
         listening: socket.socket | None = None,
     ) -> None:
-        self.callers = _server(daemon, daemon.callers, clock, listening)
-        self._inner = (
-            _server(daemon, daemon.readiness, clock),
-            _server(daemon, daemon.other_entries, clock),
-            _server(daemon, daemon.inspection, clock),
+        self.callers = _make_server(daemon, daemon.callers, clock, listening)
+        self._internal = (
+            _make_server(daemon, daemon.readiness, clock),
+            _make_server(daemon, daemon.other_entries, clock),
+            _make_server(daemon, daemon.inspection, clock),
         )
 
     async def start(self) -> None:
-        """Listen, for callers last."""
-        for server in (*self._inner, self.callers):
+        """Start all servers, the one for callers last."""
+        for server in (*self._internal, self.callers):
             await server.start()
 
     async def stop_inner(self) -> None:
-        """Stop answering the balancer and the other entries."""
+        """Stop all servers but the one for callers."""
         await asyncio.gather(
-            *(server.stop(dt.timedelta()) for server in self._inner)
+            *(server.stop(dt.timedelta()) for server in self._internal)
         )
 
 
-def _server(
+def _make_server(
     daemon: Listening,
     handler: Handler,
     clock: Clock,
--- a/bergamotdoor/gateway/wiring.py
+++ b/bergamotdoor/gateway/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the parts of an entry process and connects them."""
+"""Construction of the components of an entry process."""
 
 from __future__ import annotations
 
@@ -27,7 +27,19 @@
 
 
 class JobParts:
-    """What an entry has for batch jobs, and for callers."""
+    """Components of an entry process that serve batch jobs and callers.
+
+    Parameters
+    ----------
+    context
+        The shared state of the process.
+    access
+        The clients for the store and for the other entries.
+    manifests
+        The view of the manifest.
+    tasks
+        The background tasks of the process.
+    """
 
     def __init__(
         self,
@@ -62,7 +74,7 @@
             access.direct,
             self.news_source,
         )
-        #: None where usage is not reported.
+        #: ``None`` if this entry does not report usage.
         self.usage: UsageDuty | None = None
         if context.settings.duties is not None:
             self.usage = UsageDuty(
@@ -70,15 +82,15 @@
             )
             for kind in self.usage.messages:
                 self.peer_service.register(kind, self.usage.take)
-        self.front = self._front(context, access, manifests)
+        self.front = self._make_front(context, access, manifests)
 
     async def resume(self) -> bool:
-        """Go on with the jobs of this node's last process.
+        """Resume the jobs that this node's previous process owned.
 
         Returns
         -------
         bool
-            Whether the store told which these are.
+            ``False`` if the store did not return the list of jobs.
         """
         jobs = await self.store.all_jobs(stale=False)
         if not isinstance(jobs, tuple):
@@ -88,7 +100,7 @@
                 await self.finder.adopt(found)
         return True
 
-    def _front(
+    def _make_front(
         self, context: Context, access: StoreAccess, manifests: ManifestView
     ) -> Front:
         admission = Admission(context, manifests)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -218,8 +218,8 @@
     Mutation(
         'a manifest never goes back',
         'entry/views.py',
-        'if known is not None and found.generation <= known.generation:',
-        'if known is not None and found.generation == known.generation:',
+        'if current is not None and manifest.generation <= current.generation:',
+        'if current is not None and manifest.generation == current.generation:',
         'platform_adapter',
     ),
     Mutation(
