--- a/features/gateway_accounts.feature
+++ b/features/gateway_accounts.feature
@@ -1,19 +1,19 @@
 Feature: Client accounts and their keys
 
-  Guards against a request that runs for an account which did not send it, a
-  key that reaches anyone but the entry it was sent to, and a key that works
-  after it was taken away.
+  Guards against three failures: a request runs for an account that did not
+  send it, a key reaches a process other than the entry to which it was sent,
+  and a key works after it was revoked.
 
-  Scenario: an upstream is told the account and never the key
+  Scenario: an upstream receives the name of the account and never the key
     Given a site with accounts ant and bee
-    When a call comes with the key of ant, which claims to be bee
+    When a call with the key of ant names bee as its account
     Then the upstream runs it for ant
-    And the key is in nothing that upstreams, the store or other entries got
+    And upstreams, the store and other entries never receive the key
 
-  Scenario Outline: a request without a good key is denied and runs nowhere
+  Scenario Outline: a request without exactly one valid key never runs
     Given a site with accounts ant and bee
-    When a call comes with the credentials <credentials>
-    Then it is answered <status>, and ran <times> times
+    When a call is sent with the credentials <credentials>
+    Then it gets status <status> and ran <times> times
 
     Examples:
       | credentials              | status | times |
@@ -28,30 +28,30 @@
       | Bearer ant-key & bee-key | 401    | 0     |
       | Bearer ant-key & ant-key | 401    | 0     |
 
-  Scenario: a public route takes requests without a key
+  Scenario: a public route accepts requests without a key
     Given a site with accounts ant and bee
-    When a call to a public route claims to be bee
-    Then the upstream runs it for nobody
+    When a call to a public route names bee as its account
+    Then the upstream runs it for no account
 
-  Scenario: an account that lost all its keys opens nothing
+  Scenario: accounts stay in force when all their keys are revoked
     Given a site with accounts ant and bee
-    When all keys are taken away
-    And a call comes with the credentials none
-    Then it is answered 401, and ran 0 times
+    When all keys are revoked
+    And a call is sent with the credentials none
+    Then it gets status 401 and ran 0 times
 
-  Scenario: a batch job is its account's, whatever becomes of the key
+  Scenario: a batch job belongs to its account after the key is revoked
     Given a site with accounts ant and bee
-    When ant hands in a job, and its key is taken away
+    When ant submits a job and its key is revoked
     Then the items run for ant, and no item's header names another account
     And another key of ant reads results and bodies and ends the job
-    And keys of bee and keys that are gone find no such job
+    And the key of bee gets 404 and the revoked key gets 401
 
   Scenario: a job's id can't be used by another account
     Given a site with accounts ant and bee
-    When bee hands in a job under the id of ant's
-    Then that is a conflict, and the job is still ant's
+    When bee submits a job with the id of ant's job
+    Then bee gets 409 and the job still belongs to ant
 
-  Scenario: an owner that takes a job over knows whose it is
+  Scenario: an entry that takes over a job runs it for the same account
     Given a site with accounts ant and bee
-    When ant hands in a job, and its owner is killed
+    When ant submits a job and its owner is killed
     Then the items run for ant, and no item's header names another account
--- a/features/gateway_calls.feature
+++ b/features/gateway_calls.feature
@@ -4,110 +4,112 @@
     Given a site for calls
     When a caller posts 2000 bytes to /book/visit
     Then the caller gets 200 with the proof of an upstream
-    And the upstream got the method, path, body, id and less time than asked
+    And the upstream got the method, path, body and id, and a shorter deadline
 
-  Scenario: the longest prefix wins, and no route is 404
+  Scenario: the longest prefix matches, and a missing route gives 404
     Given a site for calls
-    When callers ask for /book/x, /bookings/x and /other/x
+    When callers request /book/x, /bookings/x and /other/x
     Then the callers get 200, 404 and 404
 
-  Scenario: before a manifest is known nobody is told that a route is missing
-    An entry that has just started knows no route. A 404 would send callers
-    away for good; 503 with a time to come back does not.
+  Scenario: no caller gets 404 before a manifest is known
+    An entry that has just started knows no route. With 404 callers would not
+    try again; 503 with a retry delay makes them retry.
 
-    Given a site whose entry starts while the store is away
-    Then the caller gets 503 with a time to come back
-    And the entry is not ready, and ready once the store is back
+    Given a site whose entry starts while the store refuses all calls
+    Then the caller gets 503 with a retry delay
+    And the entry is not ready until the store answers again
 
   Scenario: callers of a process that has just started wait for its listings
-    All processes start again together. Callers that come before an entry
-    has its first manifest, some milliseconds later, are not refused: the
-    one retry that they have would find no other entry either.
+    All processes restart together. Calls that arrive at an entry some
+    milliseconds before its first manifest are not refused: their one retry
+    would find no other entry either.
 
-    Given a site whose entry starts while the store takes 0.1 s an answer
-    Then a caller that comes at once gets 200
+    Given a site whose entry starts while the store takes 0.1 s per answer
+    Then a call that arrives at once gets 200
 
-  Scenario: a refusing upstream costs nothing, whatever the kind of call
-    One upstream is full and says that it ran nothing. The other one gets
-    the call, also where a call may run only once.
+  Scenario: a refusal by one upstream fails no call, not even one that runs once
+    The first upstream is full and reports that it did not run the call. The
+    call is sent to the second one, although its route allows one run only.
 
     Given a site for calls whose first upstream is full
     When a caller posts 10 bytes to /once/visit
     Then the caller gets 200 with the proof of an upstream
 
-  Scenario: a call that may run once is not sent again after a broken answer
-    The upstream ran the call and its answer breaks off. Nobody can say
-    whether it ran, so the caller is told nothing that promises it did not.
+  Scenario: a call that may run once is not sent again after a broken response
+    The upstream ran the call and its response breaks off. The entry does not
+    know whether it ran, so the caller must not get a promise that it did not.
 
     Given a site for calls whose upstreams are broken
     When a caller posts 10 bytes to /once/visit
-    Then the caller gets 504 without any promise
+    Then the caller gets 504 since the call may have run
     And the call reached 1 upstream
 
-  Scenario: a repeatable call goes to another upstream after a broken answer
+  Scenario: a repeatable call is retried elsewhere after a broken response
     Given a site for calls whose first upstream is broken
     When a caller posts 10 bytes to /book/visit
     Then the caller gets 200 with the proof of an upstream
 
-  Scenario: a slow upstream is not waited for where a second one may be asked
+  Scenario: a repeatable call to a slow upstream is hedged
     Given a site for calls whose first upstream is slow
     When a caller posts 10 bytes to /book/visit
     Then the caller gets 200 with the proof of an upstream
     And the caller waited at most 200 ms
 
-  Scenario: a call is answered by its route's timeout
-    Both upstreams go dark. The caller is told at the timeout, not later.
+  Scenario: a call gets its response by the timeout of its route
+    Both upstreams stop responding. The caller gets 504 at the timeout, not
+    later.
 
     Given a site for calls whose upstreams are dark
     When a caller posts 10 bytes to /book/visit
-    Then the caller gets 504 without any promise
+    Then the caller gets 504 since the call may have run
     And the caller waited at most 1500 ms
 
-  Scenario: upstreams stop working for a caller that has left
+  Scenario: upstreams stop working for a caller that has disconnected
     Given a site for calls whose upstreams are slow
-    When a caller leaves 300 ms after it posted to /book/visit
-    Then no upstream works half a second later
+    When a caller disconnects 300 ms after it posted to /book/visit
+    Then no upstream works on the call 50 ms later
 
   Scenario: the address of an upstream is used again by another one
-    The registration of the one before is still there. The newcomer says
-    that it is not the one that was meant, and runs nothing.
+    The registration of the earlier upstream still exists. The new one at its
+    address replies that it is not the upstream that was meant, and does not
+    run the call.
 
     Given a site for calls whose first upstream was replaced at its address
     When a caller posts 10 bytes to /once/visit
     Then the caller gets 200 with the proof of an upstream
-    And the replaced upstream is asked no more
+    And the entry no longer knows the replaced upstream
 
   Scenario: a draining upstream gets no calls
     Given a site for calls whose first upstream is draining
     When a caller posts 10 bytes to /book/visit, 6 times
     Then the first upstream got none of them
 
-  Scenario: an answer that belongs to another call is not passed on
-    An upstream sends an extra answer, which comes where the answer to the
-    next call is due. Its id tells.
+  Scenario: a response that belongs to another call is not forwarded
+    An upstream sends an extra response, which arrives in place of the
+    response to the next call. Its request id shows that.
 
     Given a site for calls whose first upstream answers with another id
     When a caller posts 10 bytes to /book/visit
     Then the caller gets 200 with the proof of an upstream
 
   Scenario: a planned stop cuts off no call
-    The entry is asked to stop while a call is in progress, and a caller
-    that does not know comes a second later.
+    A planned stop of the entry begins while a call is in progress. A caller
+    that does not know of the stop sends another call a second later.
 
     Given a site for calls whose upstreams take 1 s
-    When an entry is asked to stop 0.2 s after a call on a long route
-    Then the call is answered whole, and so is one that came 1 s later
-    And the entry was not ready from the first moment on
+    When an entry begins to stop 0.2 s after a call on a long route
+    Then that call and one that arrives 1 s later both get 200
+    And the entry was not ready as soon as the stop began
 
-  Scenario: a stream goes on at another upstream where it may be resumed
-    The first upstream breaks off within its sixth event. The caller sees
-    every event once, in one answer.
+  Scenario: a resumable stream continues at another upstream
+    The first upstream breaks off in its sixth event. The caller receives
+    each event once, in one response.
 
-    Given a site whose streams break off after 5 events somewhere
-    When a caller asks for a stream of 12 events that may be resumed
-    Then the caller gets events 1 to 12, each once, and a whole answer
+    Given a site for streams whose first engine breaks off after 5 events
+    When a caller requests a stream of 12 events that may be resumed
+    Then the caller gets events 1 to 12, each once, in a whole response
 
   Scenario: a stream that may not be resumed breaks off for the caller too
-    Given a site whose streams break off after 5 events somewhere
-    When a caller asks for a stream of 12 events that may not be resumed
-    Then the caller sees the answer break off
+    Given a site for streams whose first engine breaks off after 5 events
+    When a caller requests a stream of 12 events that may not be resumed
+    Then the response to the caller breaks off
--- a/features/gateway_revocation.feature
+++ b/features/gateway_revocation.feature
@@ -1,15 +1,15 @@
-Feature: Keys that are taken away where the store is not heard
+Feature: Keys that are revoked while entries can't follow the store
 
-  Guards against a request that runs although its client sent it later than
-  the bound after its key was taken away, at an entry that lives by an old
-  manifest; and against entries that refuse while they could know.
+  Guards against two failures: an entry with an outdated manifest runs a
+  request that was sent later than the bound after its key was revoked, or an
+  entry refuses requests although it can prove its manifest current.
 
-  Scenario Outline: a key is taken away while the store is <trouble>
+  Scenario Outline: a key is revoked while the store is <trouble>
     Given a site of <entries> entries where revoked keys stop within 5 s
-    When the store is <trouble> for 9 s, and a key is taken away at once
-    Then no request with that key ran that was sent more than 5 s after it
-    And those that did not run were told so, to come again in 0.5 s
-    And a key that is still held works for 3 s, and 2 s after the end again
+    When the store is <trouble> for 9 s, and a key is revoked as that begins
+    Then no request with that key ran that was sent more than 5 s later
+    And requests that did not run got 401, or 503 with a retry delay of 0.5 s
+    And a valid key works in the first 3 s, and from 2 s after the recovery on
 
     Examples:
       | entries | trouble            |
@@ -20,24 +20,25 @@
       | 5       | busy               |
       | 5       | cut from one entry |
 
-  Scenario: a job comes while revoked keys can't be known
-    Guards against a trainer that uses up its tries while nothing is known.
+  Scenario: a job is submitted while revoked keys can't be known
+    Guards against a trainer that uses up its retries before the manifest can
+    be proven current again.
 
     Given a site of 2 entries where revoked keys stop within 5 s
-    When a job comes 6 s after the store has become silent
-    Then it is refused as not run, to come again in 2 to 3 s
+    When a job is submitted 6 s after the store has become silent
+    Then it gets 503 with a retry delay of 2 to 3 s
 
-  Scenario: watches are deaf while a key is taken away
+  Scenario: watches receive nothing while a key is revoked
     Given a site of 5 entries where revoked keys stop within 5 s
-    When watches hear nothing for 1 s while a key is taken away
-    Then no request with that key ran that was sent more than 5 s after it
+    When watches receive nothing for 1 s while a key is revoked
+    Then no request with that key ran that was sent more than 5 s later
 
-  Scenario: an entry wakes up after it was suspended
+  Scenario: an entry resumes after its machine was suspended
     Given a site of 5 entries where revoked keys stop within 5 s
-    When an entry is suspended for 6 s, and asked as it wakes up
-    Then it refuses, and serves within 2 s
+    When an entry is suspended for 6 s, and gets requests as it resumes
+    Then it refuses the first one, and serves all from 2 s after that on
 
-  Scenario: proofs cost each zone one call a second
+  Scenario: proofs cost each zone one call to the store per second
     Given a site of 5 entries where revoked keys stop within 5 s
-    When nothing happens for 20 s
-    Then the manifest was watched 25 times at the most
+    When the manifest stays the same for 20 s
+    Then at most 25 watches of the manifest were sent
--- a/features/steps/gateway_accounts_steps.py
+++ b/features/steps/gateway_accounts_steps.py
@@ -1,4 +1,4 @@
-"""Steps for client accounts, on a whole site in virtual time."""
+"""Steps for client accounts on a whole site in virtual time."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 JOB = 'job-1'
 
 
-def accounts(keys: dict[str, list[str]]) -> list[dict[str, Any]]:
+def account_specs(keys: dict[str, list[str]]) -> list[dict[str, Any]]:
     return [{'name': name, 'api_keys': held} for name, held in keys.items()]
 
 
 class AccountsPlan:
-    """Runs a scene on a site whose callers need keys."""
+    """Player of scenes on a site whose callers need keys."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -51,11 +51,11 @@
 
 
 async def put_keys(site: Site, keys: dict[str, list[str]]) -> None:
-    site.put_manifest(tenants=accounts(keys))
+    site.put_manifest(tenants=account_specs(keys))
     await asyncio.sleep(1)
 
 
-async def call(
+async def send_call(
     site: Site, *credentials: str, path: str = '/book/1', claim: str = ''
 ) -> Any:
     fields = [
@@ -64,40 +64,43 @@
     ]
     if claim:
         fields.append(('X-Bergamotdoor-Tenant', claim))
-    sent = Call('POST', path, b'x', tuple(fields))
-    return await site.client.send(at(site.ports['entry-0']), sent)
+    request = Call('POST', path, b'x', tuple(fields))
+    return await site.client.send(at(site.ports['entry-0']), request)
 
 
-def runs(site: Site) -> list[Any]:
-    return [one for desk in site.services.values() for one in desk.seen]
+def call_runs(site: Site) -> list[Any]:
+    return [run for service in site.services.values() for run in service.seen]
 
 
 def item_runs(site: Site) -> list[Any]:
-    return [one for engine in site.engines.values() for one in engine.seen]
+    return [run for engine in site.engines.values() for run in engine.seen]
 
 
-async def ask(
+async def send_job_request(
     site: Site, method: str, path: str, key: str, body: bytes = b''
 ) -> Any:
     fields = (
         ('X-Bergamotdoor-Request-Id', JOB),
         ('Authorization', f'Bearer {key}'),
     )
-    sent = Call(method, path, body, fields)
-    return await site.client.send(at(site.ports['entry-1']), sent)
+    request = Call(method, path, body, fields)
+    return await site.client.send(at(site.ports['entry-1']), request)
 
 
-def job() -> bytes:
+def job_claiming_bee() -> bytes:
+    """Return a job whose items name bee in their header fields."""
     items = [JobItem(f'i{number}', 30, 'g') for number in range(4)]
-    written = json.loads(job_body('/roll/', items, 1, 1))
-    for item in written['items']:
+    job = json.loads(job_body('/roll/', items, 1, 1))
+    for item in job['items']:
         item['headers']['X-Bergamotdoor-Tenant'] = 'bee'
         item['headers']['authorization'] = 'Bearer bee-key'
-    return json.dumps(written).encode()
+    return json.dumps(job).encode()
 
 
 async def submit(site: Site, key: str) -> Any:
-    return await ask(site, 'POST', f'/roll/{JOB}', key, job())
+    return await send_job_request(
+        site, 'POST', f'/roll/{JOB}', key, job_claiming_bee()
+    )
 
 
 @given('a site with accounts ant and bee')
@@ -106,13 +109,13 @@
     context.keys = KEYS
 
 
-@when('a call comes with the key of ant, which claims to be bee')
-def call_of_ant(context: Any) -> None:
+@when('a call with the key of ant names bee as its account')
+def send_call_of_ant(context: Any) -> None:
     async def act(site: Site) -> Any:
-        reply = await call(site, 'Bearer ant-key', claim='bee')
+        reply = await send_call(site, 'Bearer ant-key', claim='bee')
         await submit(site, 'ant-key')
         await asyncio.sleep(2)
-        return {'reply': reply, 'runs': runs(site), 'store': site.store}
+        return {'reply': reply, 'runs': call_runs(site), 'store': site.store}
 
     context.seen = context.plan.run(act)
 
@@ -126,23 +129,24 @@
     assert 'authorization' not in run.headers, run.headers
 
 
-@then('the key is in nothing that upstreams, the store or other entries got')
-def key_is_nowhere(context: Any) -> None:
+@then('upstreams, the store and other entries never receive the key')
+def key_is_not_passed_on(context: Any) -> None:
     kinds = context.seen['store'].table.objects
-    kept = {name: kinds[name] for name in kinds if name != 'config'}
-    texts = [json.dumps(kept), *context.plan.lines]
-    texts.extend(str(one.headers) for one in context.seen['runs'])
+    # The manifest itself holds the keys.
+    stored = {name: kinds[name] for name in kinds if name != 'config'}
+    texts = [json.dumps(stored), *context.plan.lines]
+    texts.extend(str(run.headers) for run in context.seen['runs'])
     found = [text for text in texts if 'ant-key' in text or 'bee-key' in text]
     assert not found, found
 
 
-@when('all keys are taken away')
-def all_taken(context: Any) -> None:
+@when('all keys are revoked')
+def revoke_all_keys(context: Any) -> None:
     context.keys = {'ant': [], 'bee': []}
 
 
-@when('a call comes with the credentials {credentials}')
-def call_with(context: Any, credentials: str) -> None:
+@when('a call is sent with the credentials {credentials}')
+def send_call_with(context: Any, credentials: str) -> None:
     texts = [] if credentials == 'none' else credentials.split(' & ')
     texts = [
         text if text.startswith(('B', 'b')) else f'Bearer {text}'
@@ -151,63 +155,64 @@
 
     async def act(site: Site) -> Any:
         await put_keys(site, context.keys)
-        reply = await call(site, *texts)
-        return {'reply': reply, 'times': len(runs(site))}
+        reply = await send_call(site, *texts)
+        return {'reply': reply, 'times': len(call_runs(site))}
 
     context.seen = context.plan.run(act)
 
 
-@then('it is answered {status:d}, and ran {times:d} times')
-def answered(context: Any, status: int, times: int) -> None:
+@then('it gets status {status:d} and ran {times:d} times')
+def has_status(context: Any, status: int, times: int) -> None:
     assert context.seen['reply'].status == status
     assert context.seen['times'] == times
 
 
-@when('a call to a public route claims to be bee')
-def public_call(context: Any) -> None:
+@when('a call to a public route names bee as its account')
+def send_public_call(context: Any) -> None:
     async def act(site: Site) -> Any:
-        reply = await call(site, path='/open/1', claim='bee')
-        return {'reply': reply, 'runs': runs(site)}
+        reply = await send_call(site, path='/open/1', claim='bee')
+        return {'reply': reply, 'runs': call_runs(site)}
 
     context.seen = context.plan.run(act)
 
 
-@then('the upstream runs it for nobody')
-def runs_for_nobody(context: Any) -> None:
+@then('the upstream runs it for no account')
+def runs_for_no_account(context: Any) -> None:
     assert context.seen['reply'].status == 200
     assert len(context.seen['runs']) == 1, context.seen['runs']
     run = context.seen['runs'][0]
     assert ACCOUNT not in run.headers, run.headers
 
 
-async def readings(site: Site, key: str) -> dict[str, int]:
-    asked = {
+async def use_job(site: Site, key: str) -> dict[str, int]:
+    """Return the statuses of a read, a body and the end of the job."""
+    requests = {
         'results': ('GET', f'/-/lots/{JOB}?after=0'),
         'body': ('GET', f'/-/items/{JOB}?id=i3'),
         'end': ('DELETE', f'/-/lots/{JOB}'),
     }
     return {
-        name: (await ask(site, *what, key)).status
-        for name, what in asked.items()
+        name: (await send_job_request(site, *request, key)).status
+        for name, request in requests.items()
     }
 
 
-@when('ant hands in a job, and its key is taken away')
-def key_of_job_taken(context: Any) -> None:
+@when('ant submits a job and its key is revoked')
+def revoke_key_of_job(context: Any) -> None:
     async def act(site: Site) -> Any:
         accepted = await submit(site, 'ant-key')
         await put_keys(site, {'ant': ['ant-key-2'], 'bee': ['bee-key']})
-        found = {
-            key: await readings(site, key)
+        statuses = {
+            key: await use_job(site, key)
             for key in ('bee-key', 'ant-key', 'ant-key-2')
         }
-        return {'accepted': accepted, 'runs': item_runs(site), **found}
+        return {'accepted': accepted, 'runs': item_runs(site), **statuses}
 
     context.seen = context.plan.run(act)
 
 
 @then("the items run for ant, and no item's header names another account")
-def items_for_ant(context: Any) -> None:
+def items_run_for_ant(context: Any) -> None:
     assert context.seen['accepted'].status == 202
     assert len({run.request for run in context.seen['runs']}) == 4
     for run in context.seen['runs']:
@@ -216,19 +221,19 @@
 
 
 @then('another key of ant reads results and bodies and ends the job')
-def other_key(context: Any) -> None:
+def other_key_of_ant_works(context: Any) -> None:
     expected = {'results': 200, 'body': 200, 'end': 200}
     assert context.seen['ant-key-2'] == expected
 
 
-@then('keys of bee and keys that are gone find no such job')
-def no_such_job(context: Any) -> None:
+@then('the key of bee gets 404 and the revoked key gets 401')
+def other_keys_fail(context: Any) -> None:
     assert set(context.seen['bee-key'].values()) == {404}
     assert set(context.seen['ant-key'].values()) == {401}
 
 
-@when("bee hands in a job under the id of ant's")
-def foreign_job(context: Any) -> None:
+@when("bee submits a job with the id of ant's job")
+def submit_foreign_job(context: Any) -> None:
     async def act(site: Site) -> Any:
         await submit(site, 'ant-key')
         foreign = await submit(site, 'bee-key')
@@ -239,25 +244,25 @@
     context.seen = context.plan.run(act)
 
 
-@then("that is a conflict, and the job is still ant's")
-def conflict(context: Any) -> None:
+@then('bee gets 409 and the job still belongs to ant')
+def job_belongs_to_ant(context: Any) -> None:
     assert context.seen['foreign'].status == 409
     assert context.seen['again'].status == 202
     assert {run.headers[ACCOUNT] for run in context.seen['runs']} == {'ant'}
 
 
-@when('ant hands in a job, and its owner is killed')
-def owner_killed(context: Any) -> None:
+@when('ant submits a job and its owner is killed')
+def kill_owner_of_job(context: Any) -> None:
     async def act(site: Site) -> Any:
         accepted = await submit(site, 'ant-key')
         await asyncio.sleep(0.3)
         owner = site.store.table.specs('jobs')[JOB]['owner']
-        left = next(name for name in site.entries if name != owner)
+        survivor = next(name for name in site.entries if name != owner)
         await site.kill(owner)
         fields = (('Authorization', 'Bearer ant-key'),)
-        sent = Call('GET', f'/-/lots/{JOB}?after=0', b'', fields)
+        request = Call('GET', f'/-/lots/{JOB}?after=0', b'', fields)
         await asyncio.sleep(1)
-        await site.client.send(at(site.ports[left]), sent)
+        await site.client.send(at(site.ports[survivor]), request)
         await asyncio.sleep(4)
         return {'accepted': accepted, 'runs': item_runs(site)}
 
--- a/features/steps/gateway_calls_steps.py
+++ b/features/steps/gateway_calls_steps.py
@@ -15,11 +15,11 @@
 from lab.store import StoreMode
 from lab.upstreams import UpstreamMode
 
-SLOW_S = 0.7
+SLOW_WORK_S = 0.7
 
 
-class Plan:
-    """What a scenario sets up and does, played at its first check."""
+class CallPlan:
+    """Setup and calls of a scenario, played on a site by its `When` step."""
 
     def __init__(self) -> None:
         self.prepare: list[Any] = []
@@ -28,20 +28,20 @@
 
     async def __call__(self, site: Site) -> Any:
         await site.start(engines=self.engines, entries=1)
-        for prepared in self.prepare:
-            prepared(site)
+        for prepare in self.prepare:
+            prepare(site)
         await asyncio.sleep(0.6)
         return await self.act(site)
 
 
 @given('a site for calls')
-def a_site(context: Any) -> None:
-    context.plan = Plan()
+def set_up_site(context: Any) -> None:
+    context.plan = CallPlan()
 
 
 @given('a site for calls whose first upstream is {mode}')
-def first_is(context: Any, mode: str) -> None:
-    a_site(context)
+def set_mode_of_first(context: Any, mode: str) -> None:
+    set_up_site(context)
 
     def prepare(site: Site) -> None:
         set_mode(site, 'desk-0', mode)
@@ -50,8 +50,8 @@
 
 
 @given('a site for calls whose upstreams are {mode}')
-def all_are(context: Any, mode: str) -> None:
-    a_site(context)
+def set_mode_of_all(context: Any, mode: str) -> None:
+    set_up_site(context)
 
     def prepare(site: Site) -> None:
         for name in site.services:
@@ -61,8 +61,8 @@
 
 
 @given('a site for calls whose upstreams take {seconds:d} s')
-def all_take(context: Any, seconds: int) -> None:
-    a_site(context)
+def set_work_time_of_all(context: Any, seconds: int) -> None:
+    set_up_site(context)
 
     def prepare(site: Site) -> None:
         site.routes.append({**plain_route('/long/', 'safe', 1)})
@@ -77,7 +77,7 @@
 def set_mode(site: Site, name: str, mode: str) -> None:
     service = site.services[name]
     if mode == 'slow':
-        service.work_s = SLOW_S
+        service.work_s = SLOW_WORK_S
     elif mode == 'draining':
         spec = service.registration(state='draining')
         site.store.put('servers', name, spec)
@@ -86,25 +86,25 @@
 
 
 @given('a site for calls whose first upstream was replaced at its address')
-def replaced(context: Any) -> None:
-    a_site(context)
+def replace_first(context: Any) -> None:
+    set_up_site(context)
 
     def prepare(site: Site) -> None:
         site.services['desk-0'].name = 'desk-9'
-        # So that it would be chosen.
+        # Makes the entry choose the replaced upstream.
         set_mode(site, 'desk-1', 'slow')
 
     context.plan.prepare.append(prepare)
 
 
 @given('a site for calls whose first upstream answers with another id')
-def another_id(context: Any) -> None:
-    a_site(context)
+def answer_with_another_id(context: Any) -> None:
+    set_up_site(context)
 
     def prepare(site: Site) -> None:
         service = site.services['desk-0']
-        honest = service.fields
-        setattr(service, 'fields', lambda _: honest('another'))  # noqa: B010
+        fields = service.fields
+        setattr(service, 'fields', lambda _: fields('another'))  # noqa: B010
 
     context.plan.prepare.append(prepare)
 
@@ -131,7 +131,7 @@
 
 
 @when('a caller posts {size:d} bytes to {path}, {times:d} times')
-def posts_often(context: Any, size: int, path: str, times: int) -> None:
+def post_several_times(context: Any, size: int, path: str, times: int) -> None:
     async def act(site: Site) -> None:
         for _ in range(times):
             await post(context, site, path, size)
@@ -140,12 +140,12 @@
 
 
 @when('a caller posts {size:d} bytes to {path}')
-def posts(context: Any, size: int, path: str) -> None:
+def post_once(context: Any, size: int, path: str) -> None:
     play_plan(context, lambda site: post(context, site, path, size))
 
 
-@when('callers ask for {first}, {second} and {third}')
-def ask_three(context: Any, first: str, second: str, third: str) -> None:
+@when('callers request {first}, {second} and {third}')
+def post_to_three(context: Any, first: str, second: str, third: str) -> None:
     async def act(site: Site) -> list[int]:
         replies = [
             await post(context, site, path, 1)
@@ -156,40 +156,44 @@
     play_plan(context, act)
 
 
-@when('a caller leaves {wait:d} ms after it posted to {path}')
-def leaves(context: Any, wait: int, path: str) -> None:
+@when('a caller disconnects {wait_ms:d} ms after it posted to {path}')
+def disconnect(context: Any, wait_ms: int, path: str) -> None:
     async def act(site: Site) -> Any:
         task = asyncio.create_task(post(context, site, path, 1))
-        await asyncio.sleep(wait / 1000)
-        busy = [name for name, one in site.services.items() if one.running]
+        await asyncio.sleep(wait_ms / 1000)
+        busy = [
+            name for name, service in site.services.items() if service.running
+        ]
         task.cancel()
         await asyncio.sleep(0.05)
-        left = [name for name, one in site.services.items() if one.running]
-        return busy, left
+        still_busy = [
+            name for name, service in site.services.items() if service.running
+        ]
+        return busy, still_busy
 
     play_plan(context, act)
 
 
-@when('an entry is asked to stop {wait:f} s after a call on a long route')
-def stops(context: Any, wait: float) -> None:
+@when('an entry begins to stop {wait_s:f} s after a call on a long route')
+def begin_stop(context: Any, wait_s: float) -> None:
     async def act(site: Site) -> Any:
         first = asyncio.create_task(post(context, site, '/long/1', 1))
-        await asyncio.sleep(wait)
+        await asyncio.sleep(wait_s)
         entry = site.entries['entry-0']
         stopping = asyncio.create_task(entry.stop())
         await asyncio.sleep(0.01)
-        ready = await probe(site)
+        readiness_status = await probe_readiness(site)
         await asyncio.sleep(1)
         second = asyncio.create_task(post(context, site, '/long/2', 1))
         replies = await asyncio.gather(first, second)
         await stopping
         site.entries.clear()
-        return ready, [reply and reply.status for reply in replies]
+        return readiness_status, [reply and reply.status for reply in replies]
 
     play_plan(context, act)
 
 
-async def probe(site: Site) -> int:
+async def probe_readiness(site: Site) -> int:
     reply = await site.client.send(
         at(site.ports['entry-0'] + 1),
         Call('GET', '/-/readyz', idempotent=True),
@@ -199,7 +203,7 @@
 
 
 @then('the caller gets 200 with the proof of an upstream')
-def proven(context: Any) -> None:
+def has_proof_of_upstream(context: Any) -> None:
     reply = context.outcome
     assert reply is not None
     assert reply.status == 200, (reply.status, reply.body)
@@ -210,23 +214,23 @@
     assert reply.body.decode().startswith(name), reply.body
 
 
-@then('the upstream got the method, path, body, id and less time than asked')
-def got(context: Any) -> None:
-    seen = [one for up in context.site.services.values() for one in up.seen]
-    assert [one.request for one in seen] == ['call-1'], seen
-    headers = seen[0].headers
+@then('the upstream got the method, path, body and id, and a shorter deadline')
+def upstream_got_call(context: Any) -> None:
+    runs = [run for up in context.site.services.values() for run in up.seen]
+    assert [run.request for run in runs] == ['call-1'], runs
+    headers = runs[0].headers
     assert headers['content-length'] == '2000'
     assert int(headers['x-bergamotdoor-deadline-ms']) <= 1500, headers
     assert b'/book/visit 2000' in context.outcome.body
 
 
 @then('the callers get {first:d}, {second:d} and {third:d}')
-def statuses(context: Any, first: int, second: int, third: int) -> None:
+def have_statuses(context: Any, first: int, second: int, third: int) -> None:
     assert context.outcome == [first, second, third], context.outcome
 
 
-@given('a site whose entry starts while the store is away')
-def starts_alone(context: Any) -> None:
+@given('a site whose entry starts while the store refuses all calls')
+def start_without_store(context: Any) -> None:
     async def scene(site: Site) -> Any:
         await site.store.start()
         site.put_manifest()
@@ -235,20 +239,20 @@
         await site.add_entry('entry-0')
         await asyncio.sleep(1)
         reply = await post(context, site, '/book/1', 1)
-        before = await probe(site)
+        status_before = await probe_readiness(site)
         site.store.mode = StoreMode.UP
         await asyncio.sleep(2)
-        return reply, before, await probe(site)
+        return reply, status_before, await probe_readiness(site)
 
-    found = play(scene)
-    context.reply = found[0]
-    context.readiness = found[1:]
+    outcome = play(scene)
+    context.reply = outcome[0]
+    context.readiness = outcome[1:]
 
 
 @given(
-    'a site whose entry starts while the store takes {answer_s:g} s an answer'
+    'a site whose entry starts while the store takes {answer_s:g} s per answer'
 )
-def starts_slowly(context: Any, answer_s: float) -> None:
+def start_with_slow_store(context: Any, answer_s: float) -> None:
     async def scene(site: Site) -> Any:
         await site.store.start()
         site.put_manifest()
@@ -260,71 +264,73 @@
     context.reply = play(scene)
 
 
-@then('a caller that comes at once gets 200')
-def at_once(context: Any) -> None:
+@then('a call that arrives at once gets 200')
+def first_call_is_answered(context: Any) -> None:
     assert context.reply.status == 200, context.reply.status
 
 
-@then('the caller gets 503 with a time to come back')
-def come_back(context: Any) -> None:
+@then('the caller gets 503 with a retry delay')
+def has_retry_delay(context: Any) -> None:
     assert context.reply.status == 503, context.reply.status
     assert float(context.reply.headers.first('retry-after')) > 0
 
 
-@then('the entry is not ready, and ready once the store is back')
-def readiness(context: Any) -> None:
+@then('the entry is not ready until the store answers again')
+def becomes_ready(context: Any) -> None:
     assert context.readiness == (503, 200), context.readiness
 
 
-@then('the caller gets 504 without any promise')
-def no_promise(context: Any) -> None:
+@then('the caller gets 504 since the call may have run')
+def may_have_run(context: Any) -> None:
     assert context.outcome.status == 504, context.outcome.status
 
 
 @then('the call reached {count:d} upstream')
-def reached(context: Any, count: int) -> None:
-    seen = [one for up in context.site.services.values() for one in up.seen]
-    assert len(seen) == count, seen
+def reached_upstreams(context: Any, count: int) -> None:
+    runs = [run for up in context.site.services.values() for run in up.seen]
+    assert len(runs) == count, runs
 
 
-@then('the caller waited at most {most:d} ms')
-def waited(context: Any, most: int) -> None:
-    assert context.took <= dt.timedelta(milliseconds=most), context.took
+@then('the caller waited at most {limit_ms:d} ms')
+def waited_at_most(context: Any, limit_ms: int) -> None:
+    assert context.took <= dt.timedelta(milliseconds=limit_ms), context.took
 
 
-@then('no upstream works half a second later')
-def none_works(context: Any) -> None:
-    busy, left = context.outcome
+@then('no upstream works on the call 50 ms later')
+def no_upstream_works(context: Any) -> None:
+    busy, still_busy = context.outcome
     assert busy
-    assert not left, left
+    assert not still_busy, still_busy
 
 
-@then('the replaced upstream is asked no more')
-def asked_no_more(context: Any) -> None:
+@then('the entry no longer knows the replaced upstream')
+def replaced_is_unknown(context: Any) -> None:
     fleet = context.site.entries['entry-0']._context.fleet
     assert fleet.registered(RegistrationId('desk-0')) is None
 
 
 @then('the first upstream got none of them')
-def none_of_them(context: Any) -> None:
+def first_got_none(context: Any) -> None:
     first, second = context.site.services.values()
     assert not first.seen, first.seen
     assert second.seen
 
 
-@then('the call is answered whole, and so is one that came 1 s later')
-def both_answered(context: Any) -> None:
+@then('that call and one that arrives 1 s later both get 200')
+def both_are_answered(context: Any) -> None:
     assert context.outcome[1] == [200, 200], context.outcome
 
 
-@then('the entry was not ready from the first moment on')
-def not_ready(context: Any) -> None:
+@then('the entry was not ready as soon as the stop began')
+def was_not_ready(context: Any) -> None:
     assert context.outcome[0] == 503, context.outcome
 
 
-@given('a site whose streams break off after {events:d} events somewhere')
-def streams(context: Any, events: int) -> None:
-    context.plan = Plan()
+@given(
+    'a site for streams whose first engine breaks off after {events:d} events'
+)
+def set_up_streams(context: Any, events: int) -> None:
+    context.plan = CallPlan()
     context.plan.engines = 2
 
     def prepare(site: Site) -> None:
@@ -339,25 +345,26 @@
             )
         site.put_manifest()
         site.engines['engine-0'].break_after = events
-        # So that the first engine is chosen.
-        busy = site.engines['engine-1']
-        spec = busy.registration(slots=1, zone='there')
-        site.store.put('servers', busy.name, spec)
+        # Makes the entry choose the first engine: the second one has one slot
+        # and is in another availability zone.
+        second = site.engines['engine-1']
+        spec = second.registration(slots=1, zone='there')
+        site.store.put('servers', second.name, spec)
 
     context.plan.prepare.append(prepare)
 
 
-@when('a caller asks for a stream of {count:d} events that may be resumed')
-def asks_resumable(context: Any, count: int) -> None:
-    ask_stream(context, count, 'True')
+@when('a caller requests a stream of {count:d} events that may be resumed')
+def request_resumable_stream(context: Any, count: int) -> None:
+    request_stream(context, count, 'True')
 
 
-@when('a caller asks for a stream of {count:d} events that may not be resumed')
-def asks_plain(context: Any, count: int) -> None:
-    ask_stream(context, count, 'False')
+@when('a caller requests a stream of {count:d} events that may not be resumed')
+def request_plain_stream(context: Any, count: int) -> None:
+    request_stream(context, count, 'False')
 
 
-def ask_stream(context: Any, count: int, resumable: str) -> None:
+def request_stream(context: Any, count: int, resumable: str) -> None:
     async def act(site: Site) -> Any:
         return await site.ask(
             'entry-0',
@@ -371,14 +378,14 @@
     play_plan(context, act)
 
 
-@then('the caller gets events 1 to {count:d}, each once, and a whole answer')
-def whole_stream(context: Any, count: int) -> None:
+@then('the caller gets events 1 to {count:d}, each once, in a whole response')
+def stream_is_whole(context: Any, count: int) -> None:
     assert context.outcome is not None
     blocks = context.outcome.body.decode().split('\n\n')[:-1]
     numbers = [int(block.split('\n')[0].split(': ')[1]) for block in blocks]
     assert numbers == list(range(1, count + 1)), numbers
 
 
-@then('the caller sees the answer break off')
-def breaks(context: Any) -> None:
+@then('the response to the caller breaks off')
+def response_breaks_off(context: Any) -> None:
     assert context.outcome is None, context.outcome
--- a/features/steps/gateway_crashes_steps.py
+++ b/features/steps/gateway_crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for calls under which upstreams end."""
+"""Steps for requests under which upstreams end."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     'a site with {entries:d} entries and a request that ends the upstreams '
     'it reaches'
 )
-def crashing_site(context: Any, entries: int) -> None:
+def set_up_site(context: Any, entries: int) -> None:
     context.plan = CrashPlan(entries)
 
 
-@when('it comes at each entry, {pause_s:d} s apart')
-def comes_at_each(context: Any, pause_s: int) -> None:
+@when('it arrives at each entry, {pause_s:d} s apart')
+def arrive_at_each_entry(context: Any, pause_s: int) -> None:
     async def act(site: Site) -> int:
         for number, entry in enumerate(site.entries):
             await arrive(site, entry, f'call-{number}')
             await asyncio.sleep(pause_s)
-        return sum(one.crashes.count for one in site.services.values())
+        return sum(service.crashes.count for service in site.services.values())
 
     context.plan.act = act
     with logged('bergamotdoor.gateway') as lines:
@@ -40,55 +40,56 @@
         context.lines = tuple(lines)
 
 
-@then('each end of an upstream has a line with the same fingerprint')
-def same_fingerprint(context: Any) -> None:
-    found = [
-        told.group(1)
+@then('each end of an upstream has a log line with the same fingerprint')
+def lines_have_same_fingerprint(context: Any) -> None:
+    fingerprints = [
+        match.group(1)
         for line in context.lines
-        if (told := re.search(r'fingerprint (\w+), at .*may-have-run', line))
+        if (match := re.search(r'fingerprint (\w+), at .*may-have-run', line))
     ]
     assert context.ends >= 2, context.ends
-    assert len(found) == context.ends, (context.ends, context.lines)
-    assert len(set(found)) == 1, found
+    assert len(fingerprints) == context.ends, (context.ends, context.lines)
+    assert len(set(fingerprints)) == 1, fingerprints
 
 
 class Arrival(NamedTuple):
-    """One time at which the request came."""
+    """One arrival of the request at an entry."""
 
-    #: Upstreams that had ended under it before.
+    #: How many upstreams had ended under it before.
     ended_before: int
-    #: Those that it reached.
+    #: How many upstreams it reached, and ended, this time.
     reached: int
     status: int
 
 
 @when(
-    'it comes {times:d} times, each time at the next entry, {pause_s:d} s apart'
+    'it arrives {times:d} times, each time at the next entry, '
+    '{pause_s:d} s apart'
 )
-def comes_often(context: Any, times: int, pause_s: int) -> None:
+def arrive_at_next_entries(context: Any, times: int, pause_s: int) -> None:
     async def act(site: Site) -> list[Arrival]:
-        found = []
+        arrivals = []
         entries = list(site.entries)
         for number in range(times):
             before = ended(site)
             entry = entries[number % len(entries)]
             reply = await arrive(site, entry, f'call-{number}')
             reached = ended(site) - before
-            found.append(Arrival(before, reached, reply.status))
+            arrivals.append(Arrival(before, reached, reply.status))
             await asyncio.sleep(pause_s)
-        return found
+        return arrivals
 
     context.plan.act = act
     context.arrivals = play(context.plan)
 
 
 @when(
-    'it comes {times:d} times, each time at two entries at once, '
+    'it arrives {times:d} times, each time at two entries at once, '
     '{pause_s:d} s apart'
 )
-def comes_twice_at_once(context: Any, times: int, pause_s: int) -> None:
+def arrive_at_two_entries(context: Any, times: int, pause_s: int) -> None:
     async def act(site: Site) -> list[Arrival]:
-        found: list[Arrival] = []
+        arrivals: list[Arrival] = []
         for number in range(times):
             before = ended(site)
             replies = await asyncio.gather(
@@ -96,26 +97,28 @@
                 arrive(site, 'entry-1', f'second-{number}'),
             )
             reached = ended(site) - before
-            found.extend(
+            arrivals.extend(
                 Arrival(before, reached, reply.status) for reply in replies
             )
             await asyncio.sleep(pause_s)
-        return found
+        return arrivals
 
     context.plan.act = act
     context.arrivals = play(context.plan)
 
 
 @then('at most {most:d} of its retries reach an upstream once three have ended')
-def left_alone(context: Any, most: int) -> None:
-    late = [one for one in context.arrivals if one.ended_before >= 3]
-    assert late, context.arrivals
-    reaching = [one for one in late if one.reached]
+def few_retries_reach_upstreams(context: Any, most: int) -> None:
+    retries = [
+        arrival for arrival in context.arrivals if arrival.ended_before >= 3
+    ]
+    assert retries, context.arrivals
+    reaching = [arrival for arrival in retries if arrival.reached]
     assert len(reaching) <= most, context.arrivals
 
 
-@when('it comes at one entry and {pause_s:f} s later at the other')
-def comes_at_other(context: Any, pause_s: float) -> None:
+@when('it arrives at one entry and {pause_s:f} s later at the other')
+def arrive_at_one_then_other(context: Any, pause_s: float) -> None:
     async def act(site: Site) -> None:
         await arrive(site, 'entry-0', 'call-0')
         await asyncio.sleep(pause_s)
@@ -134,10 +137,10 @@
 
 
 @then(
-    'the second one gets 503 within {most_ms:d} ms, to come back after '
+    'the second arrival gets 503 within {most_ms:d} ms, to retry after '
     '{least_s:d} to {most_s:d} s'
 )
-def refused_at_once(
+def second_is_refused_at_once(
     context: Any, most_ms: int, least_s: int, most_s: int
 ) -> None:
     second = context.second
@@ -146,27 +149,25 @@
     assert least_s <= second.retry_after_s <= most_s, second
 
 
-@then('the status of both entries names it, with {count:d} upstreams ended')
-def named(context: Any, count: int) -> None:
+@then('the status of both entries shows it, with {count:d} upstreams ended')
+def status_shows_request(context: Any, count: int) -> None:
     assert len(context.states) == 2
     for state in context.states:
         body = msgspec.json.encode({'gateway': state})
         answer = Seen(Address(ip='127.0.0.1', port=1), body)
-        last = list(status_lines((answer,)))[-2:]
-        assert last[0] == 'requests that end upstreams: 1', last
-        assert f'{count} upstreams ended, calls are held back' in last[1]
+        last_lines = list(status_lines((answer,)))[-2:]
+        assert last_lines[0] == 'requests that end upstreams: 1', last_lines
+        assert f'{count} upstreams ended, calls are held back' in last_lines[1]
 
 
 @then('one upstream has not ended, and serves other callers')
-def one_left(context: Any) -> None:
+def one_upstream_is_left(context: Any) -> None:
     assert context.ends == 2, context.ends
     assert context.other == 200, context.other
 
 
-@when(
-    'it comes twice, and again {pause_s:d} s later when they have been mended'
-)
-def mended(context: Any, pause_s: int) -> None:
+@when('it arrives twice, and again {pause_s:d} s later at mended upstreams')
+def arrive_at_mended(context: Any, pause_s: int) -> None:
     async def act(site: Site) -> None:
         await arrive(site, 'entry-0', 'call-0')
         await asyncio.sleep(6)
@@ -176,44 +177,44 @@
             service.crashes.targets.clear()
         await asyncio.sleep(pause_s)
         context.first = await answered(site, 'entry-0', 'call-2')
-        set_slow(site)
+        slow_down_services(site)
         context.second = await answered(site, 'entry-0', 'call-3')
-        context.seen = requests_seen(site)
+        context.request_ids = request_ids_seen(site)
 
     context.plan.act = act
     play(context.plan)
 
 
-def requests_seen(site: Site) -> list[str]:
+def request_ids_seen(site: Site) -> list[str]:
     return [
-        seen.request
+        run.request
         for service in site.services.values()
-        for seen in service.seen
+        for run in service.seen
     ]
 
 
-def set_slow(site: Site) -> None:
+def slow_down_services(site: Site) -> None:
     for service in site.services.values():
         service.work_s = 0.5
 
 
-@then('it is answered, and hedged and repeated like any other')
-def like_any_other(context: Any) -> None:
+@then('it gets 200, and is hedged and repeated like any other call')
+def is_like_any_other(context: Any) -> None:
     assert context.ends == 3, context.ends
     assert context.first.status == 200, context.first
     assert context.second.status == 200, context.second
-    assert context.seen.count('call-3') == 2, context.seen
+    assert context.request_ids.count('call-3') == 2, context.request_ids
 
 
 @given('a site with {engines:d} engines and streams that {may} be resumed')
-def crashing_streams(context: Any, engines: int, may: str) -> None:
+def set_up_streams(context: Any, engines: int, may: str) -> None:
     context.plan = CrashPlan(2, services=0)
     context.plan.engines = engines
     context.resumable = may == 'may'
 
 
-@when('one that ends engines comes {times:d} times, {pause_s:d} s apart')
-def streams_come(context: Any, times: int, pause_s: int) -> None:
+@when('a stream that ends engines arrives {times:d} times, {pause_s:d} s apart')
+def stream_arrives(context: Any, times: int, pause_s: int) -> None:
     async def act(site: Site) -> None:
         site.routes.append(
             {
@@ -232,19 +233,21 @@
                 entry, 'POST', '/stream/1', b'9', Request_Id=f'call-{number}'
             )
             await asyncio.sleep(pause_s)
-        context.ends = sum(one.crashes.count for one in site.engines.values())
+        context.ends = sum(
+            upstream.crashes.count for upstream in site.engines.values()
+        )
 
     context.plan.act = act
     play(context.plan)
 
 
 @then('at most {most:d} engines end')
-def few_end(context: Any, most: int) -> None:
+def few_engines_end(context: Any, most: int) -> None:
     assert 1 <= context.ends <= most, context.ends
 
 
-@when('it comes to one upstream that fails and to two that end under it')
-def fails_and_ends(context: Any) -> None:
+@when('it is sent to one upstream that fails and to two that end under it')
+def send_to_failing_and_ending(context: Any) -> None:
     async def act(site: Site) -> None:
         site.routes.append(plain_route('/book/', 'safe', 3))
         site.routes.pop(1)
@@ -252,7 +255,7 @@
         failing = site.services['desk-0']
         failing.crashes.targets.clear()
         failing.mode = UpstreamMode.FAILING
-        # So that it is asked first.
+        # With that many slots it is chosen first.
         spec = failing.registration(slots=100)
         site.store.put('servers', failing.name, spec)
         await asyncio.sleep(2.5)
@@ -264,6 +267,6 @@
 
 
 @then('the caller gets the 500 of the upstream')
-def gets_failure(context: Any) -> None:
+def caller_gets_failure(context: Any) -> None:
     assert context.ends == 2, context.ends
     assert context.reply.status == 500, context.reply.status
--- a/features/steps/gateway_innocent_steps.py
+++ b/features/steps/gateway_innocent_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what does not count against a request."""
+"""Steps for calls that must not be suspected of ending upstreams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lab.upstreams import Upstream, UpstreamMode, register
 
 
-def rested(site: Site) -> int:
+def count_held_back(site: Site) -> int:
     """Return how many calls and items all entries have held back."""
     return sum(
         row.count
@@ -22,67 +22,62 @@
     )
 
 
-@when(
-    'a slow call starts at the same upstreams as each of its {times:d} arrivals'
-)
-def slow_beside(context: Any, times: int) -> None:
+@when('slow calls run at the same upstreams as each of its {times:d} arrivals')
+def run_slow_calls_beside(context: Any, times: int) -> None:
     async def act(site: Site) -> None:
         context.slow = []
         for number in range(times):
             for service in site.services.values():
                 service.work_s = 0.04
             beside = [
-                asyncio.create_task(ask_beside(site, number, one))
-                for one in range(6)
+                asyncio.create_task(ask_beside(site, number, slow))
+                for slow in range(6)
             ]
             await asyncio.sleep(0.01)
             await arrive(site, 'entry-0', f'call-{number}')
             context.slow.extend(await asyncio.gather(*beside))
             await asyncio.sleep(7)
-        context.again = await ask_all_again(site, times)
+        context.statuses = await repeat_slow_calls(site, times)
 
     context.plan.act = act
     play(context.plan)
 
 
-async def ask_all_again(site: Site, times: int) -> list[int]:
+async def repeat_slow_calls(site: Site, times: int) -> list[int]:
     return [
-        await ask_beside(site, number, one)
+        await ask_beside(site, number, slow)
         for number in range(times)
-        for one in range(6)
+        for slow in range(6)
     ]
 
 
-@then('only the request that ends upstreams rests')
-def only_that(context: Any) -> None:
-    assert set(context.again) == {200}, context.again
+@then('only the request that ends upstreams is held back')
+def slow_calls_are_answered(context: Any) -> None:
+    assert set(context.statuses) == {200}, context.statuses
 
 
-@given(
-    'a site with {entries:d} entries and callers that ask for the same all '
-    'the time'
-)
-def same_callers(context: Any, entries: int) -> None:
+@given('a site with {entries:d} entries and callers that repeat the same calls')
+def set_up_repeating_callers(context: Any, entries: int) -> None:
     context.plan = CrashPlan(entries)
 
 
 @when('all upstreams {end}, {times:d} times, {pause_s:d} s apart')
-def all_end(context: Any, end: str, times: int, pause_s: int) -> None:
+def end_all_upstreams(context: Any, end: str, times: int, pause_s: int) -> None:
     async def act(site: Site) -> None:
         for service in site.services.values():
             service.work_s = 0.3
         callers = [
-            asyncio.create_task(keep_asking(site, entry, number))
+            asyncio.create_task(repeat_call(site, entry, number))
             for entry in site.entries
             for number in range(5)
         ]
         try:
-            await end_often(site, ENDS[end], times, pause_s)
+            await end_repeatedly(site, ENDS[end], times, pause_s)
         finally:
             for caller in callers:
                 caller.cancel()
-        context.rested = rested(site)
-        context.struck = [
+        context.held_back = count_held_back(site)
+        context.ended_counts = [
             len(entry._context.quarantine._ended)
             for entry in site.entries.values()
         ]
@@ -91,17 +86,19 @@
     play(context.plan)
 
 
-async def end_often(site: Site, end: Any, times: int, pause_s: int) -> None:
+async def end_repeatedly(
+    site: Site, end: Any, times: int, pause_s: int
+) -> None:
     for _ in range(times):
         await asyncio.sleep(pause_s)
-        while not any(one.running for one in site.services.values()):
+        while not any(service.running for service in site.services.values()):
             await asyncio.sleep(0.01)
         await asyncio.gather(
-            *(end(site, one) for one in site.services.values())
+            *(end(site, service) for service in site.services.values())
         )
 
 
-async def keep_asking(site: Site, entry: str, number: int) -> None:
+async def repeat_call(site: Site, entry: str, number: int) -> None:
     while True:
         await site.ask(entry, 'POST', f'/book/same-{number}', b'x', timeout_s=1)
         await asyncio.sleep(0.05 + 0.03 * number)
@@ -113,7 +110,7 @@
 
 
 async def lose_power(site: Site, upstream: Upstream) -> None:
-    """Fall silent, and start again with nothing of before."""
+    """Stop responding for 1 s, then restart without any earlier state."""
     upstream.mode = UpstreamMode.DARK
     await asyncio.sleep(1)
     upstream.mode = UpstreamMode.GOOD
@@ -134,6 +131,6 @@
 
 
 @then('no call was quarantined')
-def none_rested(context: Any) -> None:
-    assert all(context.struck), context.struck
-    assert not context.rested, (context.rested, context.struck)
+def no_call_was_held_back(context: Any) -> None:
+    assert all(context.ended_counts), context.ended_counts
+    assert not context.held_back, (context.held_back, context.ended_counts)
--- a/features/steps/gateway_inspection_steps.py
+++ b/features/steps/gateway_inspection_steps.py
@@ -12,7 +12,7 @@
 
 
 @given('a site whose entry served calls and a job')
-def served(context: Any) -> None:
+def serve_calls_and_job(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=1)
         for number in range(3):
@@ -20,13 +20,13 @@
         await site.submit('entry-0', 'j1', [[2, 2]])
         await site.all_results('entry-0', 'j1')
         await site.ask('entry-0', 'DELETE', '/-/lots/j1')
-        context.metrics = await shown(site, '/metrics')
-        context.state = json.loads(await shown(site, '/state'))
+        context.metrics = await read_page(site, '/metrics')
+        context.state = json.loads(await read_page(site, '/state'))
 
     play(scene)
 
 
-async def shown(site: Site, path: str) -> str:
+async def read_page(site: Site, path: str) -> str:
     reply = await site.client.send(
         at(site.ports['entry-0'] + 3), Call('GET', path, idempotent=True)
     )
@@ -35,7 +35,7 @@
 
 
 @then('its metrics count the calls and items, with their latencies')
-def counted(context: Any) -> None:
+def metrics_count_work(context: Any) -> None:
     lines = context.metrics.split('\n')
     assert 'bergamotdoor_calls_answered_total{service="desk"} 3' in lines
     assert 'bergamotdoor_items_completed_total{service="lm"} 2' in lines
@@ -47,22 +47,22 @@
 
 
 @then('its state shows the manifest, the upstreams and the job')
-def state(context: Any) -> None:
-    found = context.state['gateway']
-    assert found['generation'] == 5, found
-    assert len(found['upstreams']) == 4, found
-    assert found['jobs'][0]['listed'] == 2, found
+def state_is_complete(context: Any) -> None:
+    state = context.state['gateway']
+    assert state['generation'] == 5, state
+    assert len(state['upstreams']) == 4, state
+    assert state['jobs'][0]['listed'] == 2, state
 
 
-@then('both tell its calls of the store, by what they do and to which kind')
-def store_calls(context: Any) -> None:
-    found = {
-        (one['call'], one['kind']): one['count']
-        for one in context.state['gateway']['store_calls']
+@then('both show its calls to the store by type and kind of object')
+def both_count_store_calls(context: Any) -> None:
+    counts = {
+        (entry['call'], entry['kind']): entry['count']
+        for entry in context.state['gateway']['store_calls']
     }
-    assert found['write', 'jobs'] >= 2, found
-    assert found['watch', 'servers'] >= 1, found
+    assert counts['write', 'jobs'] >= 2, counts
+    assert counts['watch', 'servers'] >= 1, counts
     # The parts and results of all jobs are counted as one kind.
-    assert found['write', 'job'] >= 2, found
+    assert counts['write', 'job'] >= 2, counts
     line = 'bergamotdoor_store_calls_total{call="watch",kind="servers"}'
     assert line in context.metrics, context.metrics
--- a/features/steps/gateway_jobs_steps.py
+++ b/features/steps/gateway_jobs_steps.py
@@ -21,7 +21,7 @@
 
 
 @given('a site that runs a job of groups {groups}')
-def a_job(context: Any, groups: str) -> None:
+def run_job(context: Any, groups: str) -> None:
     context.groups = parsed(groups)
 
     async def scene(site: Site) -> None:
@@ -38,16 +38,16 @@
         context.again_status = again.status
         await asyncio.sleep(1)
         context.runs = Counter(
-            seen.request
+            run.request
             for engine in site.engines.values()
-            for seen in engine.seen
+            for run in engine.seen
         )
 
     play(scene)
 
 
 @then('both entries list the same {count:d} results, whole and by version 1')
-def same_results(context: Any, count: int) -> None:
+def both_list_same_results(context: Any, count: int) -> None:
     first, second = context.listed
     assert first == second
     assert len(first) == count, first
@@ -57,37 +57,37 @@
 
 
 @then('the bodies of listed items are gone')
-def bodies_gone(context: Any) -> None:
+def bodies_are_gone(context: Any) -> None:
     assert context.body_status == 404, context.body_status
 
 
 @then('the job submitted again is accepted and runs nothing twice')
-def again(context: Any) -> None:
+def nothing_runs_twice(context: Any) -> None:
     assert context.again_status == 202, context.again_status
     assert set(context.runs.values()) == {1}, context.runs
 
 
 @then('the first page holds both items of the second group only')
-def first_page(context: Any) -> None:
-    found = {result['id'] for result in context.first_page['results']}
-    assert found == {f'{JOB}.1.0', f'{JOB}.1.1'}, found
+def first_page_is_second_group(context: Any) -> None:
+    items = {result['id'] for result in context.first_page['results']}
+    assert items == {f'{JOB}.1.0', f'{JOB}.1.1'}, items
 
 
 @then('both entries list the same results in the same order')
-def same_order(context: Any) -> None:
+def both_list_same_order(context: Any) -> None:
     first, second = context.listed
     assert first
     assert first == second, (first, second)
 
 
 @then('each item is listed once')
-def once(context: Any) -> None:
-    found = Counter(result['id'] for result in context.listed[0])
-    assert set(found.values()) == {1}, found
+def each_item_listed_once(context: Any) -> None:
+    counts = Counter(result['id'] for result in context.listed[0])
+    assert set(counts.values()) == {1}, counts
 
 
-@given('a site with a job that was never handed in')
-def unknown(context: Any) -> None:
+@given('a site with a job that was never submitted')
+def read_unknown_job(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         first = await site.results('entry-0', 'j9')
@@ -97,19 +97,19 @@
     play(scene)
 
 
-@then('its results are answered with 404, and in the outage with 503')
-def unknown_statuses(context: Any) -> None:
+@then('a read of its results gets 404, and 503 during an outage')
+def unknown_job_statuses(context: Any) -> None:
     assert context.statuses == [404, 503], context.statuses
 
 
 @given('a site whose store is {mode:w} for {away_s:f} s')
-def store_for_a_while(context: Any, mode: str, away_s: float) -> None:
+def set_store_outage(context: Any, mode: str, away_s: float) -> None:
     context.mode = StoreMode(mode)
     context.away_s = away_s
 
 
-@when('a trainer hands a job in, and once more when it is told to')
-def handed_in_twice(context: Any) -> None:
+@when('a trainer submits a job, and again after the retry delay')
+def submit_twice(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         loop = asyncio.get_running_loop()
@@ -119,17 +119,17 @@
         assert first is not None
         context.first = first
         context.refused_s = loop.time() - began_s
-        wait_s = float(first.headers.first('retry-after'))
+        retry_s = float(first.headers.first('retry-after'))
         await asyncio.sleep(max(context.away_s - context.refused_s, 0))
         site.store.mode = StoreMode.UP
-        await asyncio.sleep(max(began_s + wait_s - loop.time(), 0))
+        await asyncio.sleep(max(began_s + retry_s - loop.time(), 0))
         context.second = await site.submit('entry-1', JOB, [[2, 2]])
 
     play(scene)
 
 
-@then('it was refused within 1 s, and its job is taken then')
-def taken_then(context: Any) -> None:
+@then('the first submission is refused within 1 s, the second is accepted')
+def second_is_accepted(context: Any) -> None:
     assert context.first.status == 503, context.first
     assert context.refused_s < 1, context.refused_s
     assert context.second.status == 202, context.second
--- a/features/steps/gateway_revocation_steps.py
+++ b/features/steps/gateway_revocation_steps.py
@@ -1,4 +1,4 @@
-"""Steps for keys that are taken away, on a whole site in virtual time."""
+"""Steps for revoked keys on a whole site in virtual time."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-PROBE_S = 0.1
-LASTS_S = 9
-HELD, REVOKED = 'held-key', 'revoked-key'
+PROBE_INTERVAL_S = 0.1
+OUTAGE_S = 9
+VALID_KEY, REVOKED_KEY = 'held-key', 'revoked-key'
 
 
 class Probe(NamedTuple):
-    """A request and what became of it."""
+    """A request with one of the keys, and the response to it."""
 
     key: str
     entry: str
-    #: From the key's end on.
+    #: When it was sent, in seconds since the key was revoked.
     sent_s: float
     status: int
     retry_after: str
 
 
 class SuspendedClock:
-    """Counts what its machine was suspended for in its uptime."""
+    """Clock whose uptime includes the time of a suspension of the machine."""
 
     def __init__(self) -> None:
         self._clock = virtual_clock()
@@ -47,7 +47,7 @@
 
 
 class RevocationPlan:
-    """Runs a scene on a site that revokes strictly."""
+    """Player of scenes on a site whose revoked keys stop within 5 s."""
 
     def __init__(self, entries: int) -> None:
         self.entries = entries
@@ -59,8 +59,9 @@
             site.drain = dt.timedelta(seconds=3)
             site.clock = self.clock  # type: ignore[assignment]
             await site.start(entries=self.entries)
-            put_keys(site, HELD, REVOKED)
-            # Entries find their zone's source when they list each other.
+            put_keys(site, VALID_KEY, REVOKED_KEY)
+            # Entries choose the source of changes in their zone once they
+            # have listed each other.
             await asyncio.sleep(6)
             return await act(site)
 
@@ -71,10 +72,12 @@
     site.put_manifest(tenants=[{'name': 'ant', 'api_keys': keys}])
 
 
-async def probe(site: Site, entry: str, key: str, revoked_s: float) -> Probe:
+async def send_probe(
+    site: Site, entry: str, key: str, revoked_s: float
+) -> Probe:
     loop = asyncio.get_running_loop()
     sent_s = loop.time() - revoked_s
-    sent = Call(
+    request = Call(
         'POST',
         '/book/1',
         b'x',
@@ -83,23 +86,25 @@
             ('Authorization', f'Bearer {key}'),
         ),
     )
-    reply = await site.client.send(at(site.ports[entry]), sent)
+    reply = await site.client.send(at(site.ports[entry]), request)
     assert reply is not None, entry
-    wait = reply.headers.first('retry-after')
-    return Probe(key, entry, sent_s, reply.status, wait)
+    retry_after = reply.headers.first('retry-after')
+    return Probe(key, entry, sent_s, reply.status, retry_after)
 
 
-async def probes(site: Site, lasts_s: float, revoked_s: float) -> list[Probe]:
+async def send_probes(
+    site: Site, duration_s: float, revoked_s: float
+) -> list[Probe]:
     loop = asyncio.get_running_loop()
-    until = loop.time() + lasts_s
+    until_s = loop.time() + duration_s
     running: list[asyncio.Task[Probe]] = []
-    while loop.time() < until:
+    while loop.time() < until_s:
         running.extend(
-            asyncio.create_task(probe(site, entry, key, revoked_s))
+            asyncio.create_task(send_probe(site, entry, key, revoked_s))
             for entry in site.entries
-            for key in (HELD, REVOKED)
+            for key in (VALID_KEY, REVOKED_KEY)
         )
-        await asyncio.sleep(PROBE_S)
+        await asyncio.sleep(PROBE_INTERVAL_S)
     return list(await asyncio.gather(*running))
 
 
@@ -109,146 +114,161 @@
     elif trouble == 'busy':
         site.store.mode = StoreMode.BUSY
     else:
-        cut_entry(site, away=True)
+        cut_entry_off(site, cut=True)
 
 
-def cut_entry(site: Site, away: bool) -> None:
-    """Have one entry, the source of its zone, reach no store."""
+def cut_entry_off(site: Site, cut: bool) -> None:
+    """Cut one entry, the source of changes in its zone, off from the store.
+
+    Parameters
+    ----------
+    site
+        The site of the scenario.
+    cut
+        Whether it is cut off or connected again.
+    """
     caller = site.entries['entry-0']._access.direct
     address = site.store.address
-    nowhere = type(address)(ip=address.ip, port=1)
-    caller.address = nowhere if away else address
+    unreachable = type(address)(ip=address.ip, port=1)
+    caller.address = unreachable if cut else address
 
 
 @given('a site of {entries:d} entries where revoked keys stop within 5 s')
-def strict_site(context: Any, entries: int) -> None:
+def set_up_site(context: Any, entries: int) -> None:
     context.plan = RevocationPlan(entries)
 
 
-@when('the store is {trouble} for 9 s, and a key is taken away at once')
-def taken_away(context: Any, trouble: str) -> None:
+@when('the store is {trouble} for 9 s, and a key is revoked as that begins')
+def revoke_in_outage(context: Any, trouble: str) -> None:
     async def act(site: Site) -> list[Probe]:
         loop = asyncio.get_running_loop()
         break_store(site, trouble)
-        put_keys(site, HELD)
+        put_keys(site, VALID_KEY)
         revoked_s = loop.time()
-        asked = asyncio.create_task(probes(site, LASTS_S + 4, revoked_s))
-        await asyncio.sleep(LASTS_S)
+        probing = asyncio.create_task(
+            send_probes(site, OUTAGE_S + 4, revoked_s)
+        )
+        await asyncio.sleep(OUTAGE_S)
         site.store.mode = StoreMode.UP
-        cut_entry(site, away=False)
-        return await asked
+        cut_entry_off(site, cut=False)
+        return await probing
 
     context.probes = context.plan.run(act)
 
 
-@then('no request with that key ran that was sent more than 5 s after it')
-def none_ran(context: Any) -> None:
+@then('no request with that key ran that was sent more than 5 s later')
+def no_revoked_request_ran(context: Any) -> None:
     ran = [
-        one
-        for one in context.probes
-        if one.key == REVOKED and one.sent_s > 5 and one.status == 200
+        probe
+        for probe in context.probes
+        if probe.key == REVOKED_KEY and probe.sent_s > 5 and probe.status == 200
     ]
     assert not ran, ran[:5]
-    asked = [one for one in context.probes if one.key == REVOKED]
-    assert max(one.sent_s for one in asked) > 5
+    revoked = [probe for probe in context.probes if probe.key == REVOKED_KEY]
+    assert max(probe.sent_s for probe in revoked) > 5
 
 
-@then('those that did not run were told so, to come again in {wait_s} s')
-def told_so(context: Any, wait_s: str) -> None:
-    told = {
-        (one.status, one.retry_after)
-        for one in context.probes
-        if one.status != 200
+@then(
+    'requests that did not run got 401, or 503 with a retry delay of '
+    '{retry_s} s'
+)
+def others_were_refused(context: Any, retry_s: str) -> None:
+    refusals = {
+        (probe.status, probe.retry_after)
+        for probe in context.probes
+        if probe.status != 200
     }
-    assert told <= {(503, wait_s), (401, '')}, told
+    assert refusals <= {(503, retry_s), (401, '')}, refusals
 
 
 @then(
-    'a key that is still held works for {first_s:d} s,'
-    ' and {back_s:d} s after the end again'
+    'a valid key works in the first {first_s:d} s,'
+    ' and from {back_s:d} s after the recovery on'
 )
-def held_works(context: Any, first_s: int, back_s: int) -> None:
+def valid_key_works(context: Any, first_s: int, back_s: int) -> None:
     refused = [
-        one
-        for one in context.probes
-        if one.key == HELD
-        and one.status != 200
-        and (one.sent_s < first_s or one.sent_s > LASTS_S + back_s)
+        probe
+        for probe in context.probes
+        if probe.key == VALID_KEY
+        and probe.status != 200
+        and (probe.sent_s < first_s or probe.sent_s > OUTAGE_S + back_s)
     ]
     assert not refused, refused[:5]
 
 
-@when('watches hear nothing for 1 s while a key is taken away')
-def deaf_watches(context: Any) -> None:
+@when('watches receive nothing for 1 s while a key is revoked')
+def revoke_with_silent_watches(context: Any) -> None:
     async def act(site: Site) -> list[Probe]:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(0.5)
         site.store.deaf = True
-        put_keys(site, HELD)
+        put_keys(site, VALID_KEY)
         revoked_s = loop.time()
-        asked = asyncio.create_task(probes(site, 8, revoked_s))
+        probing = asyncio.create_task(send_probes(site, 8, revoked_s))
         await asyncio.sleep(1)
         site.store.deaf = False
         site.store.drop_history()
-        return await asked
+        return await probing
 
     context.probes = context.plan.run(act)
 
 
-@when('an entry is suspended for 6 s, and asked as it wakes up')
-def suspended(context: Any) -> None:
+@when('an entry is suspended for 6 s, and gets requests as it resumes')
+def suspend(context: Any) -> None:
     async def act(site: Site) -> list[Probe]:
         context.plan.clock.suspended = dt.timedelta(seconds=6)
-        woken_s = asyncio.get_running_loop().time()
-        return await probes(site, 3, woken_s)
+        resumed_s = asyncio.get_running_loop().time()
+        return await send_probes(site, 3, resumed_s)
 
     context.probes = context.plan.run(act)
 
 
-@then('it refuses, and serves within 2 s')
-def refuses_first(context: Any) -> None:
-    held = [one for one in context.probes if one.key == HELD]
-    assert held[0].status == 503, held[0]
-    late = [one for one in held if one.sent_s >= 2 and one.status != 200]
-    assert not late, late[:5]
+@then('it refuses the first one, and serves all from 2 s after that on')
+def serves_after_refusals(context: Any) -> None:
+    valid = [probe for probe in context.probes if probe.key == VALID_KEY]
+    assert valid[0].status == 503, valid[0]
+    refused_late = [
+        probe for probe in valid if probe.sent_s >= 2 and probe.status != 200
+    ]
+    assert not refused_late, refused_late[:5]
 
 
-@when('nothing happens for 20 s')
-def nothing(context: Any) -> None:
+@when('the manifest stays the same for 20 s')
+def count_watches(context: Any) -> None:
     async def act(site: Site) -> int:
         site.store.calls.clear()
         await asyncio.sleep(20)
-        return sum('objects/config?watch' in one for one in site.store.calls)
+        return sum('objects/config?watch' in call for call in site.store.calls)
 
     context.watched = context.plan.run(act)
 
 
-@then('the manifest was watched {most:d} times at the most')
-def watched(context: Any, most: int) -> None:
+@then('at most {most:d} watches of the manifest were sent')
+def few_watches_were_sent(context: Any, most: int) -> None:
     assert context.watched <= most, context.watched
 
 
-@when('a job comes 6 s after the store has become silent')
-def job_comes(context: Any) -> None:
+@when('a job is submitted 6 s after the store has become silent')
+def submit_in_outage(context: Any) -> None:
     async def act(site: Site) -> Any:
         site.store.mode = StoreMode.SILENT
         await asyncio.sleep(6)
-        sent = Call(
+        request = Call(
             'POST',
             '/roll/job-1',
             b'{"items": []}',
             (
                 ('X-Bergamotdoor-Request-Id', 'job-1'),
-                ('Authorization', f'Bearer {HELD}'),
+                ('Authorization', f'Bearer {VALID_KEY}'),
             ),
         )
-        return await site.client.send(at(site.ports['entry-0']), sent)
+        return await site.client.send(at(site.ports['entry-0']), request)
 
     context.reply = context.plan.run(act)
 
 
-@then('it is refused as not run, to come again in 2 to 3 s')
-def comes_later(context: Any) -> None:
+@then('it gets 503 with a retry delay of 2 to 3 s')
+def job_has_retry_delay(context: Any) -> None:
     assert context.reply.status == 503, context.reply
-    wait_s = float(context.reply.headers.first('retry-after'))
-    assert 2 <= wait_s <= 3, wait_s
+    retry_s = float(context.reply.headers.first('retry-after'))
+    assert 2 <= retry_s <= 3, retry_s
--- a/features/steps/gateway_sent_twice_steps.py
+++ b/features/steps/gateway_sent_twice_steps.py
@@ -1,4 +1,4 @@
-"""Steps for calls that were sent twice, on a connection that broke."""
+"""Steps for calls that are sent twice because of a reset connection."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     from collections.abc import AsyncIterator
 
 
-@given('a site with 1 upstream, and a connection to it is kept')
-def kept_connection(context: Any) -> None:
+@given('a site with 1 upstream and an idle connection to it')
+def set_up_one_upstream(context: Any) -> None:
     context.plan = CrashPlan(1, services=1)
 
 
-async def arrive_on_kept(site: Site) -> Any:
+async def arrive_on_idle_connection(site: Site) -> Any:
     first = await site.ask(
         'entry-0', 'POST', '/book/sound', b'x', Request_Id='call-0'
     )
@@ -40,10 +40,10 @@
     return await arrive(site, 'entry-0', 'call-1')
 
 
-@when('a request comes under which the upstream ends')
-def ends_on_kept(context: Any) -> None:
+@when('a request arrives under which the upstream ends')
+def end_on_idle_connection(context: Any) -> None:
     async def act(site: Site) -> Any:
-        reply = await arrive_on_kept(site)
+        reply = await arrive_on_idle_connection(site)
         return reply, ended(site)
 
     context.plan.act = act
@@ -52,14 +52,19 @@
     context.ends = outcome[1]
 
 
-@then('the caller gets 504, which promises nothing')
-def promises_nothing(context: Any) -> None:
+@then('the caller gets 504 since the upstream may have run it')
+def caller_gets_timeout(context: Any) -> None:
     assert context.ends == 1, context.ends
     assert context.reply.status == 504, context.reply.status
 
 
-class Replaced:
-    """Breaks a kept connection; the next start refuses what comes again."""
+class ReplacedUpstream:
+    """Client whose first call is reset and whose next one is refused.
+
+    The first call runs into a reset of an idle connection. The second one
+    reaches the upstream that is at the address by then, which replies with
+    421 that it is not the one that was meant.
+    """
 
     def __init__(self) -> None:
         self.sends = 0
@@ -68,26 +73,26 @@
         self.sends += 1
         if self.sends == 1:
             return ClientFailure(sent=True, detail='reset', reused=True)
-        return ClientResponse(status=421, headers=Headers(), body=nothing())
+        return ClientResponse(status=421, headers=Headers(), body=empty_body())
 
     async def refuses(self, _: Address) -> bool:
         return False
 
     async def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, since no connection is open."""
 
 
-async def nothing() -> AsyncIterator[bytes]:
+async def empty_body() -> AsyncIterator[bytes]:
     yield b''
 
 
-@given('an upstream that breaks a kept connection and is replaced')
-def replaced(context: Any) -> None:
-    context.client = Replaced()
+@given('an upstream that resets an idle connection and is replaced')
+def set_up_replaced_upstream(context: Any) -> None:
+    context.client = ReplacedUpstream()
 
 
-@when('a call is sent there')
-def sent_there(context: Any) -> None:
+@when('a call is sent to its address')
+def send_to_address(context: Any) -> None:
     request = ClientRequest(
         address=Address(ip='127.0.0.1', port=1),
         method='POST',
--- a/features/steps/gateway_store_steps.py
+++ b/features/steps/gateway_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps for batch jobs while the store is slow or away."""
+"""Steps for batch jobs while the store is slow or unreachable."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from lab.store import StoreMode
 
 
-@given('a site whose store refuses calls when a job comes')
-def store_away(context: Any) -> None:
+@given('a site whose store refuses calls when a job is submitted')
+def submit_while_refusing(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         site.store.mode = StoreMode.BUSY
@@ -31,7 +31,7 @@
         context.refused = refused
         context.took = site.clock.elapsed() - began
         await asyncio.sleep(1)
-        context.ran = sum(len(one.seen) for one in site.engines.values())
+        context.ran = sum(len(engine.seen) for engine in site.engines.values())
         site.store.mode = StoreMode.UP
         await handed_in(site, [[2, 2]])
         context.results = await site.all_results('entry-1', JOB)
@@ -40,20 +40,20 @@
 
 
 @then('the job is refused within 1 s and nothing of it ran')
-def refused(context: Any) -> None:
+def is_refused_at_once(context: Any) -> None:
     assert context.refused.status == 503, context.refused.status
     assert float(context.refused.headers.first('retry-after')) > 0
     assert context.took.total_seconds() < 1, context.took
     assert not context.ran
 
 
-@then('the job is accepted and runs when the store is back')
-def back(context: Any) -> None:
+@then('the job is accepted and runs once the store has recovered')
+def runs_after_recovery(context: Any) -> None:
     assert len(context.results) == 2, context.results
 
 
-@given('a site whose store loses the answers when a job comes')
-def lost_answers(context: Any) -> None:
+@given('a site whose store loses its responses when a job is submitted')
+def submit_while_losing_responses(context: Any) -> None:
     context.groups = [[2, 2], [3]]
 
     async def scene(site: Site) -> None:
@@ -66,16 +66,16 @@
 
 
 @then('the job is accepted and every item is listed once')
-def accepted_once(context: Any) -> None:
+def every_item_listed_once(context: Any) -> None:
     first, second = context.listed
     assert first == second
-    assert sorted(one['id'] for one in first) == sorted(
+    assert sorted(result['id'] for result in first) == sorted(
         lengths_of(context.groups)
     )
 
 
 @given('a site whose store takes {seconds:f} s to list a job after a restart')
-def slow_list(context: Any, seconds: float) -> None:
+def read_after_slow_load(context: Any, seconds: float) -> None:
     context.groups = [[2, 2], [3, 3]]
 
     async def scene(site: Site) -> None:
@@ -96,7 +96,7 @@
 
 
 @given('a site whose store delays two writes of results')
-def delayed(context: Any) -> None:
+def run_with_delayed_writes(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         await handed_in(site, [[2, 2], [4, 4], [60, 3]])
@@ -107,13 +107,13 @@
     play(scene)
 
 
-@given('a site whose owner is turned away by the store')
-def turned_away(context: Any) -> None:
+@given("a site whose owner can't reach the store")
+def run_without_store_access(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         await handed_in(site, [[10, 10], [20, 20]])
         owner = owner_of(site)
-        # Nothing listens where this entry looks for the store.
+        # Nothing listens at the address at which this entry calls the store.
         access = site.entries[owner]._access
         access.direct.address = at(8999)
         await listed_at_both(context, site)
@@ -123,7 +123,7 @@
 
 
 @given('a site whose store turns slow while a job of long items runs')
-def slow_store(context: Any) -> None:
+def run_with_slow_store(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
         await handed_in(site, [[90, 90]])
@@ -149,11 +149,11 @@
 
 
 @then('its owner stays the same, and no reader waits longer than {most_s:g} s')
-def same_owner(context: Any, most_s: float) -> None:
+def owner_stays_the_same(context: Any, most_s: float) -> None:
     assert len(context.owners) == 1, context.owners
     assert max(context.waits_s) <= most_s, context.waits_s
 
 
-@then('every item of the slow store ran once')
-def ran_once(context: Any) -> None:
+@then('every item ran once despite the slow store')
+def every_item_ran_once(context: Any) -> None:
     assert context.runs == [1, 1], context.runs
