--- a/bergamotdoor/entry/views.py
+++ b/bergamotdoor/entry/views.py
@@ -174,7 +174,7 @@
     def interrupted(self) -> None:
         """Record when the store was last found unreachable.
 
-        Registrations of running upstreams may lapse because of it.
+        Registrations of running upstreams may lapse during that time.
         """
         self._store_failed_at = self._clock.elapsed()
 
--- a/bergamotdoor/gateway/admission.py
+++ b/bergamotdoor/gateway/admission.py
@@ -37,7 +37,7 @@
     context
         The shared state of the process.
     manifests
-        The view of the manifest, which knows when it was last proven
+        The view of the manifest, with the time at which it was last proven
         current.
     """
 
--- a/bergamotdoor/gateway/call_front.py
+++ b/bergamotdoor/gateway/call_front.py
@@ -1,4 +1,4 @@
-"""The interface for callers: plain requests, forwarded while they wait."""
+"""The interface for callers: plain requests, forwarded immediately."""
 
 from __future__ import annotations
 
--- a/bergamotdoor/gateway/daemon.py
+++ b/bergamotdoor/gateway/daemon.py
@@ -144,7 +144,7 @@
         return await self._parts.front.handle(request)
 
     async def readiness(self, request: HttpRequest) -> HttpResponse:
-        """Return whether the balancer may send callers to this entry."""
+        """Return the response to a readiness probe of the balancer."""
         known = self._manifests.manifest is not None
         upstreams = len(self._context.fleet) > 0
         return readiness(known and upstreams and not self._stopping)
--- a/bergamotdoor/gateway/front.py
+++ b/bergamotdoor/gateway/front.py
@@ -28,7 +28,7 @@
 
 
 class Front:
-    """Router from each request to the handler of calls or of batch jobs.
+    """Router that passes each request to the handler of calls or of jobs.
 
     Parameters
     ----------
--- a/bergamotdoor/gateway/servers.py
+++ b/bergamotdoor/gateway/servers.py
@@ -24,7 +24,7 @@
         """Return the response to a caller or a trainer."""
 
     async def readiness(self, request: HttpRequest) -> HttpResponse:
-        """Return whether the balancer may send callers to this entry."""
+        """Return the response to a readiness probe of the balancer."""
 
     async def other_entries(self, request: HttpRequest) -> HttpResponse:
         """Return the response to another process of the system."""
--- a/features/gateway_jobs.feature
+++ b/features/gateway_jobs.feature
@@ -88,8 +88,8 @@
     And each item is listed once
 
   Scenario: a former owner does not hide what the new one has listed
-    An owner makes no progress, and another entry takes over its job without
-    its notice. A reader reads two results at the new owner, and then reads
+    An owner makes no progress and does not know that another entry has taken
+    over its job. A reader reads two results at the new owner, and then reads
     from the second position at the former one. That entry must return the
     result, or reply that it does not know it now.
 
