--- a/bergamotdoor/peers/__init__.py
+++ b/bergamotdoor/peers/__init__.py
@@ -1,4 +1,4 @@
-"""The protocol between processes of the system, and who they are."""
+"""The protocol between processes of the system, and their directory."""
 
 from __future__ import annotations
 
--- a/bergamotdoor/peers/access.py
+++ b/bergamotdoor/peers/access.py
@@ -1,4 +1,4 @@
-"""How a process reaches the store."""
+"""Wire up the clients through which a process reaches the object store."""
 
 from __future__ import annotations
 
@@ -23,23 +23,25 @@
 
 
 class StoreAccess:
-    """The ways to the store, and the other entries on them.
+    """Clients of the object store and of the other entries.
 
     Parameters
     ----------
     settings
-        Where the store is, and which process this is.
+        Settings of this process; they name the store's address, this node
+        and its availability zone.
     client
-        Sends requests.
+        HTTP client for requests to the store and to other entries.
     clock
-        The time.
+        Clock of this process.
     """
 
     def __init__(
         self, settings: NodeSettings, client: Client, clock: Clock
     ) -> None:
-        # Drawn anew at each start: records are told apart by it, and a
-        # restarted process must not take its predecessor's for its own.
+        # Seeded differently at each start: its values distinguish the records
+        # of processes, and a restarted process must not treat a record of its
+        # predecessor as its own.
         self.rng = random.Random()
         self.peers = PeerClient(client)
         self.direct = DirectCaller(client, settings.store)
@@ -60,10 +62,10 @@
         )
 
     def use_settings(self, settings: NodeSettings) -> None:
-        """Take another address of the store, if the settings have one."""
+        """Use the store's address from `settings` if it has changed."""
         if settings.store != self.direct.address:
             _log.info(
-                'peers: the store is at %s:%d now',
+                'peers: store address changed to %s:%d',
                 settings.store.ip,
                 settings.store.port,
             )
--- a/bergamotdoor/peers/client.py
+++ b/bergamotdoor/peers/client.py
@@ -1,4 +1,4 @@
-"""Calls between entry processes."""
+"""Requests between entry processes over HTTP."""
 
 from __future__ import annotations
 
@@ -30,18 +30,24 @@
     from bergamotdoor.http.messages import Client, HttpRequest
     from bergamotdoor.settings.document import Address
 
-#: What an entry needs beyond the wait that was asked for; a healthy one
+#: Added to the wait that a request allows the receiving entry; a healthy entry
 #: answers in milliseconds.
 _PEER_MARGIN_MS: Final = 400
 PEER_MARGIN: Final = dt.timedelta(milliseconds=_PEER_MARGIN_MS)
 _NO_WAIT: Final = dt.timedelta()
-_MAX_BYTES: Final = 33_554_432
+_MAX_BODY_BYTES: Final = 33_554_432
 
 _log = logging.getLogger('bergamotdoor.peers')
 
 
 class PeerClient:
-    """Asks other entries; None is an entry that can't be reached."""
+    """Client for requests to other entries.
+
+    Parameters
+    ----------
+    client
+        HTTP client that carries the requests.
+    """
 
     def __init__(self, client: Client) -> None:
         self._client = client
@@ -52,7 +58,24 @@
         message: PeerRequest,
         wait: dt.timedelta = _NO_WAIT,
     ) -> PeerReply | None:
-        """Return the reply, None if there is none in time."""
+        """Send a message to another entry and return its reply.
+
+        Parameters
+        ----------
+        address
+            Address at which the other entry listens for its peers.
+        message
+            The request.
+        wait
+            How long the other entry may wait before it replies. The request
+            times out after this and ``PEER_MARGIN``.
+
+        Returns
+        -------
+        PeerReply or None
+            ``None`` if the entry can't be reached, doesn't reply in time, or
+            sends a reply that can't be read.
+        """
         response = await send(
             self._client,
             ClientRequest(
@@ -68,14 +91,14 @@
             _log.info('peers: no reply to %s: %s', name, response.detail)
             return None
         try:
-            body = await response.read_body(_MAX_BYTES)
+            body = await response.read_body(_MAX_BODY_BYTES)
             return codec.decode_reply(body)
         except (
             BodyBrokenError,
             BodyTooLargeError,
             msgspec.MsgspecError,
         ) as error:
-            _log.warning('peers: reply to %s broken: %s', name, error)
+            _log.warning('peers: reply to %s is malformed: %s', name, error)
             return None
 
 
@@ -83,12 +106,25 @@
     request: HttpRequest,
     handle: Callable[[PeerRequest], Awaitable[PeerReply]],
 ) -> HttpResponse:
-    """Answer another entry."""
-    body = await request.read_body(_MAX_BYTES)
+    """Handle a request of another entry.
+
+    Parameters
+    ----------
+    request
+        The HTTP request; its body is the encoded message.
+    handle
+        Coroutine function that returns the reply to the decoded message.
+
+    Returns
+    -------
+    HttpResponse
+        The encoded reply, or status 400 if the message can't be decoded.
+    """
+    body = await request.read_body(_MAX_BODY_BYTES)
     try:
         message = codec.decode_request(body)
     except msgspec.MsgspecError as error:
-        _log.warning('peers: message not understood: %s', error)
+        _log.warning('peers: message can not be decoded: %s', error)
         return HttpResponse(status=int(HTTPStatus.BAD_REQUEST))
     reply = await handle(message)
     return HttpResponse(status=int(HTTPStatus.OK), body=codec.encode(reply))
--- a/bergamotdoor/peers/codec.py
+++ b/bergamotdoor/peers/codec.py
@@ -1,4 +1,4 @@
-"""Messages between entry processes as bytes."""
+"""Encoding of the messages between entry processes."""
 
 from __future__ import annotations
 
@@ -9,71 +9,75 @@
 
 from bergamotdoor.peers.messages import PeerReply, PeerRequest
 
-#: The first byte tells how the rest is written.
+#: The first byte of a message says whether the rest is compressed.
 _PLAIN: Final = b'p'
-_PACKED: Final = b'z'
-#: Less is not worth the work; all but pages of results and jobs is less.
-_LEAST_BYTES: Final = 4096
-#: Texts lose a third of their size at the cheapest level, 20 ms for each
-#: megabyte; dearer levels win two hundredths more for twice the time.
-_LEVEL: Final = 1
-#: A job of the largest body that callers may send.
-_MOST_BYTES: Final = 67_108_864
-_REQUESTS: Final = msgspec.msgpack.Decoder(PeerRequest)
-_REPLIES: Final = msgspec.msgpack.Decoder(PeerReply)
+_COMPRESSED: Final = b'z'
+#: Smaller messages are not compressed, since it saves too little. Only pages
+#: of results and jobs are larger.
+_MIN_COMPRESSED_BYTES: Final = 4096
+#: The fastest zlib level (1) makes texts a third smaller and takes 20 ms per
+#: megabyte. Higher levels save another two hundredths and take twice as long.
+_COMPRESSION_LEVEL: Final = 1
+#: Size of a job with the largest body that callers may send. A compressed
+#: message is not decompressed beyond it.
+_MAX_MESSAGE_BYTES: Final = 67_108_864
+_REQUEST_DECODER: Final = msgspec.msgpack.Decoder(PeerRequest)
+_REPLY_DECODER: Final = msgspec.msgpack.Decoder(PeerReply)
 
 
 def encode(message: PeerRequest | PeerReply) -> bytes:
-    """Write a message; large ones are compressed.
+    """Return a message as bytes, compressed if it is large.
 
-    Pages of results and jobs are nearly all that crosses the borders of
-    zones, where bytes cost money, and what fills the links of small VMs.
+    Pages of results and jobs make up nearly all traffic between availability
+    zones, which is billed by the byte, and saturate the links of small VMs.
     """
     body = msgspec.msgpack.encode(message)
-    if len(body) < _LEAST_BYTES:
+    if len(body) < _MIN_COMPRESSED_BYTES:
         return _PLAIN + body
-    return _PACKED + zlib.compress(body, _LEVEL)
+    return _COMPRESSED + zlib.compress(body, _COMPRESSION_LEVEL)
 
 
 def decode_request(body: bytes) -> PeerRequest:
-    """Read what another process asks.
+    """Decode a request of another process.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it is no request, or larger than any that is sent.
+        If `body` is not a request, or is larger than any request that
+        processes send.
     """
-    request: PeerRequest = _REQUESTS.decode(_plain(body))
+    request: PeerRequest = _REQUEST_DECODER.decode(_message_bytes(body))
     return request
 
 
 def decode_reply(body: bytes) -> PeerReply:
-    """Read another process's reply.
+    """Decode the reply of another process.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it is no reply, or larger than any that is sent.
+        If `body` is not a reply, or is larger than any reply that processes
+        send.
     """
-    reply: PeerReply = _REPLIES.decode(_plain(body))
+    reply: PeerReply = _REPLY_DECODER.decode(_message_bytes(body))
     return reply
 
 
-def _plain(body: bytes) -> bytes:
-    how, rest = body[:1], body[1:]
-    if how == _PACKED:
-        return _unpacked(rest)
-    if how != _PLAIN:
-        raise msgspec.DecodeError(f'first byte {how!r}, expected p or z')
-    return rest
+def _message_bytes(body: bytes) -> bytes:
+    encoding, payload = body[:1], body[1:]
+    if encoding == _COMPRESSED:
+        return _decompress(payload)
+    if encoding != _PLAIN:
+        raise msgspec.DecodeError(f'first byte {encoding!r}, expected p or z')
+    return payload
 
 
-def _unpacked(packed: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
+def _decompress(compressed: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacker.decompress(packed, _MOST_BYTES)
+        body = decompressor.decompress(compressed, _MAX_MESSAGE_BYTES)
     except zlib.error as error:
         raise msgspec.DecodeError(f'compressed message: {error}') from error
-    if not unpacker.eof:
-        raise msgspec.DecodeError('compressed message: cut off, or too large')
+    if not decompressor.eof:
+        raise msgspec.DecodeError('compressed message: truncated or too large')
     return body
--- a/bergamotdoor/peers/directory.py
+++ b/bergamotdoor/peers/directory.py
@@ -1,4 +1,4 @@
-"""Which entries there are, and where they listen for other processes."""
+"""Directory of the entry processes and their addresses."""
 
 from __future__ import annotations
 
@@ -23,45 +23,51 @@
     from bergamotdoor.types import ModelId
 
 ENTRY_KIND: Final = 'entries'
-#: A stale list costs a tenth of a call, and entries change rarely. A new
-#: entry is needed as a way round soon after its start, not at once.
-_REFRESH_S: Final = (1, 3, 15)
+#: Pauses before the first, the second, and each further refresh. Entries
+#: change rarely, and a listing that may be stale costs a tenth of a call. A new
+#: entry is needed as a relay to the store soon after its start, but not
+#: immediately.
+_REFRESH_PAUSES_S: Final = (1, 3, 15)
 
 _log = logging.getLogger('bergamotdoor.peers')
 
 
 class EntryRecord(msgspec.Struct, frozen=True):
-    """Where an entry listens, and in which availability zone."""
+    """The address and availability zone of an entry."""
 
     address: Address
     zone: ZoneId = ZoneId('')
-    #: The bandwidth of its VM's link, in Mbit/s; 0 is not known.
+    #: Bandwidth of the VM's network link in Mbit/s; 0 if it is not known.
     link_mbps: float = 0
 
 
 def home_order(
     model: ModelId, entries: Mapping[NodeId, EntryRecord], zone: ZoneId
 ) -> list[NodeId]:
-    """Return the entries that may run a model's jobs, the best first.
-
-    One entry for all steps of a trainer keeps its connections to the
-    engines, 202 new ones instead of 473 on a quiet day of five engines, and
-    places the items of steps that overlap knowing of both. It is one of the
-    zone in which the trainer hands its steps in: their bodies and results
-    would otherwise cross the zones' borders twice. Among these it is one
-    with the fastest link. Failure: the home has a link of 30 Mbit/s, and a
-    step's last groups are 400 kB, which it sends to the store and then to
-    the reader's entry. Symptom: each takes 0.1 s, and in pages small enough
-    for the link the trainer needs two or three reads, half a second apart.
+    """Return the entries that may run a model's jobs, the preferred one first.
+
+    All steps of a trainer are run by the same entry. It reuses its
+    connections to the engines (202 new connections instead of 473 on a quiet
+    day with five engines), and knows the items of all overlapping steps when
+    it assigns items to engines. Entries of the availability zone in which the
+    trainer submits its steps are preferred, since the bodies and results of
+    the steps would otherwise cross zone borders twice. Among these, entries
+    with the fastest link are preferred.
+
+    Failure: the preferred entry has a link of 30 Mbit/s, and the last groups
+    of a step are 400 kB, which the entry sends to the store and then to the
+    reader's entry. Symptom: each transfer takes 0.1 s, and with pages that are
+    small enough for the link the trainer needs two or three reads, half a
+    second apart.
 
     Parameters
     ----------
     model
-        The trainer's model.
+        Model of the trainer.
     entries
-        All entries that are known.
+        All known entries by node.
     zone
-        Where the job was handed in.
+        Availability zone in which the job was submitted.
     """
     order = [NodeId(name) for name in hrw_order(model, entries)]
     return sorted(
@@ -71,23 +77,31 @@
 
 
 class OnStatus(Protocol):
-    """Takes the status of an entry's record."""
+    """Callback for changes of the status of entry records."""
 
     def __call__(self, status: bytes, *, own: bool) -> None:
-        """Take it; `own` says that the record is this node's."""
+        """Handle a changed status.
+
+        Parameters
+        ----------
+        status
+            The encoded status of the record.
+        own
+            Whether the record belongs to this node.
+        """
 
 
 class Directory:
-    """Keeps the addresses of the other entries.
+    """Cached list of the entries that are registered in the store.
 
     Parameters
     ----------
     store
-        Where entries register.
+        Client of the store in which entries register.
     node
-        This process, which is left out.
+        Node of this process, which is not part of ``entries``.
     clock
-        For the pauses.
+        Clock for the pauses between refreshes and retries.
     """
 
     def __init__(self, store: ObjectClient, node: NodeId, clock: Clock) -> None:
@@ -95,79 +109,91 @@
         self._node = node
         self._clock = clock
         self.entries: dict[NodeId, EntryRecord] = {}
-        #: Of this process, if it is an entry.
-        self._own: EntryRecord | None = None
+        #: Record of this process; ``None`` if it is not a registered entry.
+        self._own_record: EntryRecord | None = None
         self._reader = ObjectReader(_log, 'peers')
-        #: Told the status of each record that has changed.
+        #: Called with each status of a record that has changed.
         self.on_status: OnStatus | None = None
-        self._statuses: dict[str, bytes] = {}
+        self._last_statuses: dict[str, bytes] = {}
 
     @property
     def with_own(self) -> dict[NodeId, EntryRecord]:
-        """All entries, this process among them if it is one."""
-        own = {} if self._own is None else {self._node: self._own}
+        """All known entries, including this process if it is an entry."""
+        own = {} if self._own_record is None else {self._node: self._own_record}
         return {**self.entries, **own}
 
     async def register(self, entry: EntryRecord) -> None:
-        """Write where this entry listens; tried until it is known."""
-        self._own = entry
+        """Write this entry's record to the store; retry until that is done."""
+        self._own_record = entry
         spec = msgspec.json.encode(entry)
-        done = False
-        while not done:
-            found = await self._store.create(ENTRY_KIND, self._node, spec)
-            done = not isinstance(found, Outcome)
-            if isinstance(found, Conflict) and found.current is not None:
-                self._take_status(found.current)
-                done = await self._correct(found.current, spec)
-            if not done:
-                await self._clock.sleep(_pause(0))
+        is_registered = False
+        while not is_registered:
+            created = await self._store.create(ENTRY_KIND, self._node, spec)
+            is_registered = not isinstance(created, Outcome)
+            if isinstance(created, Conflict) and created.current is not None:
+                self._notify_status(created.current)
+                is_registered = await self._replace_record(
+                    created.current, spec
+                )
+            if not is_registered:
+                await self._clock.sleep(_refresh_pause(0))
 
     async def run(self) -> None:
-        """Refresh until cancelled."""
-        tries = 0
+        """Refresh the list of entries periodically until cancelled."""
+        refreshes = 0
         while True:
-            await self._clock.sleep(_pause(tries))
-            tries += 1
+            await self._clock.sleep(_refresh_pause(refreshes))
+            refreshes += 1
             await self.refresh()
 
     async def refresh(self) -> None:
-        """List the entries; those known stay if that fails."""
+        """List the entries; the cached list is kept if the listing fails."""
         listing = await self._store.listing(ENTRY_KIND, stale=True)
         if isinstance(listing, Outcome):
             return
         for entry in listing.objects:
-            self._take_status(entry)
+            self._notify_status(entry)
         self.entries = {
             NodeId(stored.name): record
             for stored in listing.objects
             if stored.name != self._node
-            and (record := self._reader.read(stored, _record)) is not None
+            and (record := self._reader.read(stored, _parse_record)) is not None
         }
 
-    def _take_status(self, stored: StoredObject) -> None:
-        if self._statuses.get(stored.name) == stored.status:
+    def _notify_status(self, stored: StoredObject) -> None:
+        """Call `on_status` if the status of a record has changed."""
+        if self._last_statuses.get(stored.name) == stored.status:
             return
-        self._statuses[stored.name] = stored.status
+        self._last_statuses[stored.name] = stored.status
         if stored.status and self.on_status is not None:
             self.on_status(stored.status, own=stored.name == self._node)
 
-    async def _correct(self, stored: StoredObject, spec: bytes) -> bool:
-        """Replace the record of an earlier process at another address."""
-        written = self._reader.read(stored, _record)
-        if written == msgspec.json.decode(spec, type=EntryRecord):
+    async def _replace_record(self, stored: StoredObject, spec: bytes) -> bool:
+        """Replace the record of an earlier process, if it differs.
+
+        Returns
+        -------
+        bool
+            Whether the store now holds `spec` as this entry's record.
+        """
+        stored_record = self._reader.read(stored, _parse_record)
+        if stored_record == msgspec.json.decode(spec, type=EntryRecord):
             return True
-        _log.info('peers: %s had another address', self._node)
+        _log.info('peers: replacing the earlier record of %s', self._node)
         outcome = await self._store.delete(ENTRY_KIND, self._node)
         if outcome is not Outcome.ABSENT:
             return False
-        again = await self._store.create(ENTRY_KIND, self._node, spec)
-        return not isinstance(again, (Outcome, Conflict))
+        created = await self._store.create(ENTRY_KIND, self._node, spec)
+        return not isinstance(created, (Outcome, Conflict))
 
 
-def _record(stored: StoredObject) -> EntryRecord:
+def _parse_record(stored: StoredObject) -> EntryRecord:
     with reading('entry'):
         return msgspec.json.decode(stored.spec, type=EntryRecord)
 
 
-def _pause(tries: int) -> dt.timedelta:
-    return dt.timedelta(seconds=_REFRESH_S[min(tries, len(_REFRESH_S) - 1)])
+def _refresh_pause(refreshes: int) -> dt.timedelta:
+    """Return the pause after a number of refreshes since the start."""
+    return dt.timedelta(
+        seconds=_REFRESH_PAUSES_S[min(refreshes, len(_REFRESH_PAUSES_S) - 1)]
+    )
--- a/bergamotdoor/peers/duty_messages.py
+++ b/bergamotdoor/peers/duty_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the process that reports usage, and to it."""
+"""Messages from and to the process that reports usage."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 
 class UsageTold(msgspec.Struct, frozen=True, tag=True):
-    """Tell whoever reports usage what an entry has counted."""
+    """Request counts of an entry, sent to the process that reports usage."""
 
     usage: EntryUsage
 
 
 class DutyHeld(msgspec.Struct, frozen=True, tag=True):
-    """Tell who reports usage, and how far that has come.
+    """Notification of the reporting duty's holder and its decided windows.
 
-    Reports are left out of the record: whoever takes the duty over reads it.
+    The record is sent without its reports, since a process that takes the
+    duty over reads the stored record.
     """
 
     record: DutyRecord
--- a/bergamotdoor/peers/messages.py
+++ b/bergamotdoor/peers/messages.py
@@ -22,7 +22,10 @@
 
 
 class ReadResults(msgspec.Struct, frozen=True, tag=True):
-    """Ask a job's owner for results; waits until there is one."""
+    """Request for results of a job, sent to its owner.
+
+    The owner replies once there is a result, or when the wait is over.
+    """
 
     job: JobId
     after: int
@@ -30,20 +33,23 @@
 
 
 class ReadBody(msgspec.Struct, frozen=True, tag=True):
-    """Ask a job's owner for the body of an item that is not listed."""
+    """Request for the body of an item that has no listed result yet.
+
+    It is sent to the owner of the job.
+    """
 
     job: JobId
     item: ItemId
 
 
 class JobEnded(msgspec.Struct, frozen=True, tag=True):
-    """Tell a job's owner that it was ended."""
+    """Notification to a job's owner that the job was ended."""
 
     job: JobId
 
 
 class AdoptJob(msgspec.Struct, frozen=True, tag=True):
-    """Ask an entry to run a job whose record names it as the owner."""
+    """Request to run a job whose record names the receiver as the owner."""
 
     record: JobRecord
     revision: Revision
@@ -51,22 +57,22 @@
 
 
 class TakeOver(msgspec.Struct, frozen=True, tag=True):
-    """Ask an entry to run a job whose owner stops, with all that it has."""
+    """Request to run a job whose owner stops, with the owner's full state."""
 
     record: JobRecord
-    #: Of the record.
+    #: Revision of the record.
     revision: Revision
     spec: JobSpec
-    #: All that have positions, in their order.
+    #: All results that have positions, in the order of their positions.
     results: tuple[ItemResult, ...]
-    #: The number of the first record that the owner does not know.
+    #: Number of the first result record that the owner does not know.
     next_number: int
-    #: What items that are not listed have so far.
+    #: Partial transcripts of the items that have no listed result yet.
     partial: dict[ItemId, SavedTranscript]
 
 
 class JobOwned(msgspec.Struct, frozen=True, tag=True):
-    """Tell who owns a job, so that others need not ask the store."""
+    """Notification of who owns a job; saves the receivers a store read."""
 
     job: JobId
     record: JobRecord
@@ -74,10 +80,10 @@
 
 
 class EngineLoaded(msgspec.Struct, frozen=True, tag=True):
-    """Tell that an engine has taken a version of a model.
+    """Notification that an engine has loaded a version of a model.
 
-    Told to an entry near the engine, which passes it on once to the one
-    that runs the model's jobs.
+    An agent sends it to an entry near the engine, which forwards it once to
+    the entry that runs the model's jobs; ``passed_on`` marks that copy.
     """
 
     engine: Address
@@ -87,13 +93,13 @@
 
 
 class StrikesLearned(msgspec.Struct, frozen=True, tag=True):
-    """Tell which upstreams ended under which requests."""
+    """Notification of upstreams that ended and the requests they ran."""
 
     strikes: tuple[Strike, ...]
 
 
 class StoreCall(msgspec.Struct, frozen=True, tag=True):
-    """Ask for a call of the store from another VM."""
+    """Request to make a call to the store from the receiver's VM."""
 
     method: str
     path: str
@@ -118,36 +124,40 @@
 
 
 class ResultPage(msgspec.Struct, frozen=True, tag=True):
-    """Results from the position that was asked for."""
+    """Results from the requested position on."""
 
     total: int
     results: tuple[ItemResult, ...]
 
 
 class ItemBody(msgspec.Struct, frozen=True, tag=True):
-    """The body of an item, None if it is listed or unknown."""
+    """The body of an item; ``None`` if it has a result or is unknown."""
 
     body: bytes | None
 
 
 class Done(msgspec.Struct, frozen=True, tag=True):
-    """The message was taken."""
+    """The message was accepted."""
 
 
 class NotOwner(msgspec.Struct, frozen=True, tag=True):
-    """The process that was asked does not run the job."""
+    """The process that received the request does not run the job."""
 
 
 class NotKnown(msgspec.Struct, frozen=True, tag=True):
-    """The process runs the job and cannot tell now; it lives."""
+    """The process is alive, but cannot answer the request now.
+
+    In reply to ``ReadResults`` it also means that the process runs the job.
+    """
 
 
 class StoreReply(msgspec.Struct, frozen=True, tag=True):
-    """What came of a call of the store; no status where none came."""
+    """The store's answer to a relayed call."""
 
+    #: HTTP status of the answer; ``None`` if the store did not answer.
     status: int | None
     body: bytes
-    #: Whether the call may have been done, or may be done later.
+    #: Whether the call may have taken effect, or may do so later.
     unclear: bool = False
 
 
--- a/bergamotdoor/peers/news_source.py
+++ b/bergamotdoor/peers/news_source.py
@@ -1,9 +1,10 @@
-"""Watches the store for the other processes of an availability zone.
+"""Watch the store on behalf of the other processes of an availability zone.
 
-Load pattern: every process follows two or three kinds of objects, and each
-change ends a watch of each of them. 58 entries and 32 agents made 2,800
-watches in 46 s, three quarters of all their calls of the store. So one entry
-of a zone watches, and the others wait for news at it.
+Load pattern: every process watches two or three kinds of objects, and each
+change ends one watch in every process. 58 entries and 32 agents made 2,800
+watches in 46 s, three quarters of all their calls to the store. Therefore
+one entry of a zone, the *source*, watches the store, and the other processes
+of the zone wait for changes at the source.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
     from bergamotdoor.tasks import Tasks
     from bergamotdoor.types import Revision
 
-#: How long a kind is followed that nobody asks for any more.
-_UNASKED_S: Final = 10
-_UNASKED: Final = dt.timedelta(seconds=_UNASKED_S)
-#: Before a watch that failed is tried again.
-_RETRY_MS: Final = 200
-_RETRY: Final = dt.timedelta(milliseconds=_RETRY_MS)
+#: A kind is no longer watched after no request for it arrived for so long.
+_IDLE_TIMEOUT_S: Final = 10
+_IDLE_TIMEOUT: Final = dt.timedelta(seconds=_IDLE_TIMEOUT_S)
+#: Pause before a failed watch is retried.
+_RETRY_PAUSE_MS: Final = 200
+_RETRY_PAUSE: Final = dt.timedelta(milliseconds=_RETRY_PAUSE_MS)
 _MS: Final = dt.timedelta(milliseconds=1)
 _NO_TIME: Final = dt.timedelta()
 
@@ -42,23 +43,25 @@
 
 
 class Feed:
-    """Follows one kind for others.
+    """A watch of one kind of objects that other processes share.
 
-    Failure: the store can't be reached from here, or tells its watches of
-    nothing. Symptom: a whole zone lives by an old manifest. A feed tells
-    nothing once a watch is not answered in time, and begins anew after each
-    interruption; whoever follows it lists then.
+    Failure: the source can't reach the store, or the store reports no changes
+    to its watches. Symptom: a whole zone uses an outdated manifest. As soon
+    as the store does not answer a watch in time, waiting requests end without
+    a result, and the log of changes starts anew. The processes that sent the
+    requests then list the kind.
 
     Parameters
     ----------
     news
-        Watches the store.
+        Waits for changes at the store.
     watch
-        Which kind, and how closely.
+        The kind of objects, and how often the store is watched.
     clock
-        The time.
+        Clock of this process.
     trusted
-        How long after a watch was due to begin it has been answered.
+        Time within which the store must have answered a watch, counted from
+        the start of the pause before it.
     """
 
     def __init__(
@@ -67,117 +70,134 @@
         self._news = news
         self._watch = watch
         self._clock = clock
-        self._trusted = trusted
-        self._known: ChangeLog | None = None
-        #: When the last watch that was answered began, in time since the
-        #: machine's start.
+        self._answer_timeout = trusted
+        self._change_log: ChangeLog | None = None
+        #: When the last answered watch began, in time since the machine's
+        #: start.
         self._proven_at: dt.timedelta | None = None
-        self._asked_at = clock.elapsed()
-        self._wanted = asyncio.Event()
-        self._grown = asyncio.Event()
+        self._last_request_at = clock.elapsed()
+        self._requested = asyncio.Event()
+        self._updated = asyncio.Event()
 
     @property
     def wanted(self) -> bool:
-        """Whether somebody asked lately."""
-        return self._clock.elapsed() - self._asked_at < _UNASKED
+        """Whether a request has arrived within the idle timeout."""
+        return self._clock.elapsed() - self._last_request_at < _IDLE_TIMEOUT
 
     async def run(self) -> None:
-        """Follow the kind until nobody asks for it."""
+        """Watch the kind until no request arrives within the idle timeout."""
         while self.wanted:
-            if self._known is None:
-                self._wanted.clear()
-                await self._wait(self._wanted, _UNASKED)
+            if self._change_log is None:
+                self._requested.clear()
+                await self._wait_for_event(self._requested, _IDLE_TIMEOUT)
             else:
-                await self._follow(self._known)
+                await self._watch_once(self._change_log)
 
     async def changes(
         self, since: Revision, wait: dt.timedelta
     ) -> Changes | Outcome:
-        """Return what is new since a revision, waiting until there is."""
-        self._asked_at = self._clock.elapsed()
-        if self._known is None:
-            self._known = ChangeLog(since)
-            self._wanted.set()
-        known = self._known
-        until = self._asked_at + wait
+        """Return the changes since a revision; wait until there is one.
+
+        Parameters
+        ----------
+        since
+            Revision that the caller knows.
+        wait
+            How long to wait for a change. The result is empty if there is
+            none within this time.
+
+        Returns
+        -------
+        Changes or Outcome
+            ``HISTORY_GONE`` if some changes are no longer known, ``NOT_DONE``
+            if the watch of the store was interrupted meanwhile.
+        """
+        self._last_request_at = self._clock.elapsed()
+        if self._change_log is None:
+            self._change_log = ChangeLog(since)
+            self._requested.set()
+        change_log = self._change_log
+        until = self._last_request_at + wait
         proven_at = self._proven_at
-        while not self._has_news(known, since, proven_at):
+        while not self._has_update(change_log, since, proven_at):
             left = until - self._clock.elapsed()
             if left <= _NO_TIME:
                 break
-            await self._wait(self._grown, left)
-        if known is not self._known:
+            await self._wait_for_event(self._updated, left)
+        if change_log is not self._change_log:
             return Outcome.NOT_DONE
-        found = known.behind(since)
+        found = change_log.behind(since)
         if found is None:
             return Outcome.HISTORY_GONE
         return msgspec.structs.replace(found, proven_at=self._proven_at)
 
-    def _has_news(
+    def _has_update(
         self,
-        known: ChangeLog,
+        change_log: ChangeLog,
         since: Revision,
         proven_at: dt.timedelta | None,
     ) -> bool:
-        if known is not self._known or since < known.until:
+        if change_log is not self._change_log or since < change_log.until:
             return True
-        proves = self._watch.proof is not None
-        return proves and proven_at != self._proven_at
+        sends_proofs = self._watch.proof is not None
+        return sends_proofs and proven_at != self._proven_at
 
-    async def _follow(self, known: ChangeLog) -> None:
-        found = await self._watched(known)
+    async def _watch_once(self, change_log: ChangeLog) -> None:
+        found = await self._watch_store(change_log)
         if isinstance(found, Outcome):
             _log.info('peers: news of %s: %s', self._watch.kind, found.value)
-            self._known = None
+            self._change_log = None
             self._proven_at = None
-            self._announce()
-            await self._clock.sleep(_RETRY)
+            self._notify_waiters()
+            await self._clock.sleep(_RETRY_PAUSE)
             return
         self._proven_at = found.proven_at
         if found.changes:
-            known.append(found)
+            change_log.append(found)
         if found.changes or self._watch.proof is not None:
-            self._announce()
+            self._notify_waiters()
 
-    async def _watched(self, known: ChangeLog) -> Changes | Outcome:
-        """Watch the store, and give up once it can't be trusted.
+    async def _watch_store(self, change_log: ChangeLog) -> Changes | Outcome:
+        """Watch the store once, and time out if it does not answer in time.
 
-        Failure: the store can't be reached any more, or has dropped the
-        history of a watch, which stays open beyond its time. Symptom: all
-        that follow this feed are told that there is nothing new, until the
-        call is given up seconds later.
+        Failure: the store can't be reached any more, or it has dropped the
+        history that a watch needs and leaves the watch open beyond its
+        duration. Symptom: all processes that wait here get replies without
+        changes until the call times out seconds later.
         """
         try:
-            async with asyncio.timeout(self._trusted.total_seconds()):
-                return await self._news.changes(self._watch, known.until)
+            async with asyncio.timeout(self._answer_timeout.total_seconds()):
+                return await self._news.changes(self._watch, change_log.until)
         except TimeoutError:
             return Outcome.UNCLEAR
 
-    def _announce(self) -> None:
-        self._grown.set()
-        self._grown = asyncio.Event()
+    def _notify_waiters(self) -> None:
+        self._updated.set()
+        self._updated = asyncio.Event()
 
-    async def _wait(self, event: asyncio.Event, most: dt.timedelta) -> None:
+    async def _wait_for_event(
+        self, event: asyncio.Event, timeout: dt.timedelta
+    ) -> None:
         try:
-            async with asyncio.timeout(most.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 await event.wait()
         except TimeoutError:
             return
 
 
 class NewsSource:
-    """Tells other processes of changes.
+    """Answers the watch requests of other processes.
 
     Parameters
     ----------
     store
-        What is watched.
+        Client of the store that is watched.
     clock
-        The time.
+        Clock of this process.
     tasks
-        Runs what follows the kinds.
+        Runs one task for each watched kind.
     bounds
-        How old what is told may be.
+        Time limits of each part of the path from the store to a process.
     """
 
     def __init__(
@@ -192,53 +212,68 @@
         self._tasks = tasks
         self._bounds = bounds
         self._feeds: dict[str, Feed] = {}
-        #: Whether this process tells nothing any more.
+        #: Whether this process no longer answers watch requests.
         self.closed = False
 
     def follows(self, kind: str) -> bool:
-        """Return whether a kind is followed here for others."""
+        """Return whether this process watches a kind for others."""
         return kind in self._feeds and not self.closed
 
     async def changes(self, watch: Watch, since: Revision) -> Changes | Outcome:
-        """Return what is new of a kind, waiting until there is."""
+        """Return the changes of a kind; wait until there is one.
+
+        Parameters
+        ----------
+        watch
+            The kind, and how closely the caller follows it.
+        since
+            Revision that the caller knows.
+
+        Returns
+        -------
+        Changes or Outcome
+            Empty changes if there are none within the bounds' wait,
+            ``HISTORY_GONE`` if the caller has to list the kind, and another
+            outcome if this process can't watch the store now.
+        """
         if self.closed:
             return Outcome.NOT_DONE
         feed = self._feeds.get(watch.kind)
         if feed is None:
-            feed = self._begin(watch)
+            feed = self._start_feed(watch)
         return await feed.changes(since, self._bounds.answer_wait)
 
     async def answer(
         self, message: WatchKind
     ) -> KindChanges | HistoryGone | NotKnown:
-        """Answer another process that waits for news."""
+        """Answer a watch request of another process."""
         received_at = self._clock.uptime()
         proof = message.proof_ms * _MS if message.proof_ms else None
         watch = Watch(message.kind, message.gather_ms * _MS, proof=proof)
         found = await self.changes(watch, message.since)
         if isinstance(found, Changes):
-            return _told(found, received_at)
+            return _to_message(found, received_at)
         return HistoryGone() if found is Outcome.HISTORY_GONE else NotKnown()
 
-    def _begin(self, asked: Watch) -> Feed:
-        gather = min(asked.gather, self._bounds.most_gather)
+    def _start_feed(self, requested: Watch) -> Feed:
+        gather = min(requested.gather, self._bounds.most_gather)
         wait = self._bounds.watch_wait(gather)
-        watch = Watch(asked.kind, gather, wait, asked.proof)
+        watch = Watch(requested.kind, gather, wait, requested.proof)
         trusted = self._bounds.trusted(watch)
         feed = Feed(self._news, watch, self._clock, trusted)
         self._feeds[watch.kind] = feed
-        self._tasks.start(self._run(watch.kind, feed))
+        self._tasks.start(self._run_feed(watch.kind, feed))
         _log.info('peers: follows %s for others', watch.kind)
         return feed
 
-    async def _run(self, kind: str, feed: Feed) -> None:
+    async def _run_feed(self, kind: str, feed: Feed) -> None:
         try:
             await feed.run()
         finally:
             self._feeds.pop(kind, None)
 
 
-def _told(found: Changes, received_at: dt.timedelta) -> KindChanges:
+def _to_message(found: Changes, received_at: dt.timedelta) -> KindChanges:
     proven_ms = (
         None
         if found.proven_at is None
--- a/bergamotdoor/peers/relay.py
+++ b/bergamotdoor/peers/relay.py
@@ -1,11 +1,11 @@
-"""Reaches the store through other entries where the own way is cut.
-
-Failure: a VM is cut off from the store, or the store turns it away, for
-seconds, while its callers, the engines and the other entries reach it.
-Symptom: it can neither take jobs in nor list results, and a step that it
-owns misses its time. The store's calls are conditional, so a call that
-went both ways has one effect, and the other entries see a store that is
-the same for all.
+"""Reach the store through other entries if the direct path fails.
+
+Failure: for seconds, a VM can't reach the store, or the store refuses its
+calls, while its callers, the engines and the other entries still reach it.
+Symptom: the VM's entry can neither accept jobs nor list results, and a step
+that it owns misses its deadline. The calls to the store are conditional, so
+a call that was sent both directly and through another entry takes effect
+once. All entries see the same store.
 """
 
 from __future__ import annotations
@@ -29,24 +29,27 @@
     from bergamotdoor.peers.directory import Directory
     from bergamotdoor.settings.document import Address
 
-    _Found: TypeAlias = Answer | Outcome
-    #: A call on its way.
-    _Way: TypeAlias = asyncio.Task[_Found]
-
-#: Well above the store's answers when it is slow for everyone, so that a
-#: slow store is not asked twice; far below the call's timeout.
-_PATIENCE_MS: Final = 350
-_PATIENCE: Final = dt.timedelta(milliseconds=_PATIENCE_MS)
-#: How long the other way is taken before the own one is tried again.
-_DETOUR: Final = dt.timedelta(seconds=1)
-#: How long other entries are left alone after none of them helped. A store
-#: that is down for all is then called 1.2 times for each call instead of 3
-#: times, with a call each 100 ms.
-_CLOSED: Final = dt.timedelta(seconds=1)
-#: How many entries are asked; each may be cut off as well.
-_MOST_PEERS: Final = 2
+    _CallResult: TypeAlias = Answer | Outcome
+    #: A call in progress.
+    _CallTask: TypeAlias = asyncio.Task[_CallResult]
+
+#: A call without an answer for so long is also sent through other entries. It
+#: is well above the response time of a store that is slow for everyone, so
+#: that a slow store does not get calls twice, and far below the call's timeout.
+_HEDGE_DELAY_MS: Final = 350
+_HEDGE_DELAY: Final = dt.timedelta(milliseconds=_HEDGE_DELAY_MS)
+#: How long calls are sent through other entries before the direct path is
+#: tried again.
+_RELAY_FIRST_PERIOD: Final = dt.timedelta(seconds=1)
+#: No call is relayed for so long after no entry got a usable answer. A store
+#: that is down for all then receives 1.2 calls for each call instead of 3, if a
+#: call is made each 100 ms.
+_RELAY_PAUSE: Final = dt.timedelta(seconds=1)
+#: How many entries a call is relayed through at most; each may be cut off from
+#: the store as well.
+_MAX_RELAYS: Final = 2
 _MS: Final = dt.timedelta(milliseconds=1)
-_REFUSALS: Final = frozenset(
+_REFUSAL_STATUSES: Final = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 )
 
@@ -54,16 +57,22 @@
 
 
 class Relay(Protocol):
-    """Asks one other entry for a call of the store."""
+    """Interface for calls to the store through one other entry."""
 
     async def call(
         self, address: Address, call: StoreCall, timeout: dt.timedelta
     ) -> Answer | Outcome:
-        """Return what the store answered there."""
+        """Return the store's answer to the call of the entry at `address`."""
 
 
 class PeerRelay:
-    """Relays over the protocol between entries."""
+    """Relays calls over the protocol between entries.
+
+    Parameters
+    ----------
+    peers
+        Client for requests to other entries.
+    """
 
     def __init__(self, peers: PeerClient) -> None:
         self._peers = peers
@@ -71,7 +80,14 @@
     async def call(
         self, address: Address, call: StoreCall, timeout: dt.timedelta
     ) -> Answer | Outcome:
-        """Return what the store answered there."""
+        """Return the store's answer to the call of the entry at `address`.
+
+        Returns
+        -------
+        Answer or Outcome
+            ``NOT_DONE`` if the call surely had no effect, ``UNCLEAR`` if it
+            may have had one.
+        """
         reply = await self._peers.ask(address, call, timeout)
         if not isinstance(reply, StoreReply):
             return Outcome.UNCLEAR
@@ -86,13 +102,13 @@
     Parameters
     ----------
     direct
-        The own way.
+        Calls the store directly from this VM.
     relay
-        The other ways.
+        Calls the store through another entry.
     clock
-        For the pauses.
+        Clock for the periods in which one of the paths is not used.
     rng
-        Spreads the calls over the entries.
+        Chooses the entries through which a call is relayed.
     """
 
     def __init__(
@@ -106,48 +122,60 @@
         self._relay = relay
         self._clock = clock
         self._rng = rng
-        self._detour_until = dt.timedelta()
-        self._closed_until = dt.timedelta()
-        #: Set once the entries can be known.
+        self._relay_first_until = dt.timedelta()
+        self._relay_paused_until = dt.timedelta()
+        #: Addresses of the other entries; ``None`` until the directory exists.
         self.directory: Directory | None = None
 
     async def call(
         self, method: str, path: str, body: bytes, timeout: dt.timedelta
     ) -> Answer | Outcome:
-        """Return the first answer that is no refusal, from any way."""
+        """Return the first answer that is not a refusal, from any path.
+
+        Returns
+        -------
+        Answer or Outcome
+            ``UNCLEAR`` if there was no such answer and the call may have
+            taken effect on any of the paths.
+        """
         call = StoreCall(method, path, body, timeout // _MS)
-        addresses = self._addresses()
-        if not addresses:
+        relays = self._pick_relays()
+        if not relays:
             return await self._call_directly(call, timeout)
         found: Answer | Outcome = Outcome.NOT_DONE
-        if self._clock.elapsed() < self._detour_until:
-            found = await self._go_round(call, addresses, timeout)
+        if self._clock.elapsed() < self._relay_first_until:
+            found = await self._call_relays(call, relays, timeout)
             if usable(found):
                 return found
-        # What was left open on the first way stays so.
-        return _worse(await self._either(call, addresses, timeout), found)
+        # The relayed attempt may have taken effect: an unclear outcome of it
+        # is kept.
+        return _keep_unclear(
+            await self._call_hedged(call, relays, timeout), found
+        )
 
     async def watch(self, path: str, timeout: dt.timedelta) -> Answer | Outcome:
-        """Wait for news, on one way only.
+        """Watch the store on one path only.
 
-        Its silence tells nothing, and one that was cut is not begun again
-        on another way: its caller lists first.
+        A watch without an answer does not show that its path has failed. An
+        interrupted watch is not restarted on another path, since the caller
+        has to list first.
         """
-        addresses = self._addresses()
-        if addresses and self._clock.elapsed() < self._detour_until:
+        relays = self._pick_relays()
+        if relays and self._clock.elapsed() < self._relay_first_until:
             call = StoreCall('GET', path, b'', timeout // _MS)
-            return await self._relay.call(addresses[0], call, timeout)
+            return await self._relay.call(relays[0], call, timeout)
         return await self._direct.watch(path, timeout)
 
-    def _addresses(self) -> list[Address]:
-        if self.directory is None or self._closed():
+    def _pick_relays(self) -> list[Address]:
+        """Return the entries to relay a call through, in random order."""
+        if self.directory is None or self._is_relay_paused():
             return []
-        known = [entry.address for entry in self.directory.entries.values()]
-        return self._rng.sample(known, min(len(known), _MOST_PEERS))
+        addresses = [entry.address for entry in self.directory.entries.values()]
+        return self._rng.sample(addresses, min(len(addresses), _MAX_RELAYS))
 
-    def _closed(self) -> bool:
-        """Return whether the other ways were found to be no better."""
-        return self._clock.elapsed() < self._closed_until
+    def _is_relay_paused(self) -> bool:
+        """Return whether relayed calls recently failed as direct ones did."""
+        return self._clock.elapsed() < self._relay_paused_until
 
     async def _call_directly(
         self, call: StoreCall, timeout: dt.timedelta
@@ -156,63 +184,74 @@
             call.method, call.path, call.body, timeout
         )
 
-    async def _either(
-        self, call: StoreCall, addresses: list[Address], timeout: dt.timedelta
+    async def _call_hedged(
+        self, call: StoreCall, relays: list[Address], timeout: dt.timedelta
     ) -> Answer | Outcome:
-        direct = asyncio.create_task(self._call_directly(call, timeout))
+        direct_call = asyncio.create_task(self._call_directly(call, timeout))
         try:
-            return await self._beside(direct, call, addresses, timeout)
+            return await self._hedge_call(direct_call, call, relays, timeout)
         finally:
-            direct.cancel()
+            direct_call.cancel()
 
-    async def _beside(
+    async def _hedge_call(
         self,
-        direct: _Way,
+        direct_call: _CallTask,
         call: StoreCall,
-        addresses: list[Address],
+        relays: list[Address],
         timeout: dt.timedelta,
-    ) -> _Found:
-        await asyncio.wait((direct,), timeout=_PATIENCE.total_seconds())
-        if _has_answer(direct):
-            return direct.result()
-        others = asyncio.create_task(self._go_round(call, addresses, timeout))
+    ) -> _CallResult:
+        await asyncio.wait((direct_call,), timeout=_HEDGE_DELAY.total_seconds())
+        if _has_usable_answer(direct_call):
+            return direct_call.result()
+        relayed_call = asyncio.create_task(
+            self._call_relays(call, relays, timeout)
+        )
         try:
-            return await self._first_answer(direct, others)
+            return await self._first_usable_answer(direct_call, relayed_call)
         finally:
-            others.cancel()
+            relayed_call.cancel()
 
-    async def _first_answer(self, direct: _Way, others: _Way) -> _Found:
-        """Return the answer of the way that has one first.
+    async def _first_usable_answer(
+        self, direct_call: _CallTask, relayed_call: _CallTask
+    ) -> _CallResult:
+        """Return the usable answer that arrives first.
 
-        Failure: the own way is only slow, and so are the others. Symptom: a
-        call whose own answer came 0.05 s after the patience waited 0.7 s for
-        another entry's, and a step that was handed over stood still.
+        Failure: the direct path is only slow, and so are the relays. Symptom:
+        a call whose direct answer arrived 0.05 s after the hedge delay waited
+        0.7 s for the answer of another entry, and a step that was being handed
+        over made no progress.
         """
-        pending = {way for way in (direct, others) if not way.done()}
-        while pending and not _has_answer(direct) and not _has_answer(others):
+        pending = {
+            task for task in (direct_call, relayed_call) if not task.done()
+        }
+        while (
+            pending
+            and not _has_usable_answer(direct_call)
+            and not _has_usable_answer(relayed_call)
+        ):
             _, pending = await asyncio.wait(
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
-        if _has_answer(direct):
-            return direct.result()
-        if _has_answer(others):
-            self._go_by_others()
-            return others.result()
-        self._closed_until = self._clock.elapsed() + _CLOSED
-        return _worse(direct.result(), others.result())
-
-    def _go_by_others(self) -> None:
+        if _has_usable_answer(direct_call):
+            return direct_call.result()
+        if _has_usable_answer(relayed_call):
+            self._prefer_relays()
+            return relayed_call.result()
+        self._relay_paused_until = self._clock.elapsed() + _RELAY_PAUSE
+        return _keep_unclear(direct_call.result(), relayed_call.result())
+
+    def _prefer_relays(self) -> None:
         now = self._clock.elapsed()
-        if now >= self._detour_until:
+        if now >= self._relay_first_until:
             _log.warning('peers: the store is reached by others only')
-        self._detour_until = now + _DETOUR
+        self._relay_first_until = now + _RELAY_FIRST_PERIOD
 
-    async def _go_round(
-        self, call: StoreCall, addresses: list[Address], timeout: dt.timedelta
+    async def _call_relays(
+        self, call: StoreCall, relays: list[Address], timeout: dt.timedelta
     ) -> Answer | Outcome:
         found: Answer | Outcome = Outcome.NOT_DONE
-        for address in addresses:
-            found = _worse(
+        for address in relays:
+            found = _keep_unclear(
                 await self._relay.call(address, call, timeout), found
             )
             if usable(found):
@@ -221,7 +260,7 @@
 
 
 async def relayed(direct: Caller, call: StoreCall) -> StoreReply:
-    """Make a call for another process, by the own way only."""
+    """Make a call to the store for another process, directly only."""
     timeout = call.timeout_ms * _MS
     found = await direct.call(call.method, call.path, call.body, timeout)
     if isinstance(found, Answer):
@@ -230,18 +269,25 @@
 
 
 def usable(found: Answer | Outcome) -> bool:
-    """Return whether the store answered, and did not turn the call away."""
-    return isinstance(found, Answer) and found.status not in _REFUSALS
+    """Return whether the store answered and did not refuse the call."""
+    return isinstance(found, Answer) and found.status not in _REFUSAL_STATUSES
 
 
-def _has_answer(way: _Way) -> bool:
-    return way.done() and usable(way.result())
+def _has_usable_answer(task: _CallTask) -> bool:
+    return task.done() and usable(task.result())
 
 
-def _worse(
+def _keep_unclear(
     found: Answer | Outcome, earlier: Answer | Outcome
 ) -> Answer | Outcome:
-    """Keep that a call may have been done, if any way left that open."""
+    """Merge the results of two attempts at a call.
+
+    Returns
+    -------
+    Answer or Outcome
+        The newer result `found`. If it is not usable and the earlier attempt
+        may have taken effect, ``UNCLEAR``.
+    """
     if usable(found):
         return found
     if earlier is Outcome.UNCLEAR:
--- a/bergamotdoor/peers/shared_news.py
+++ b/bergamotdoor/peers/shared_news.py
@@ -1,4 +1,4 @@
-"""Hears of changes from another entry, or from the store itself."""
+"""Wait for changes at another entry, or at the store itself."""
 
 from __future__ import annotations
 
@@ -33,24 +33,30 @@
 
 
 class SharedNews:
-    """Waits for changes at the source of the zone.
+    """Waits for changes at the zone's source, or at the store without one.
 
-    Failure: the source is gone, silent, or can't tell. Symptom: this process
-    would hear of changes late, or go on behind a gap. It lists the kind then,
-    which can't miss a change, and goes on at the next source or at the store.
+    The source is the entry of an availability zone that watches the store for
+    the other processes of the zone.
+
+    Failure: the source is gone, does not answer, or has lost the store.
+    Symptom: this process learns of changes late, or misses some of them.
+    Therefore it lists the kind, which can't miss a change, and then waits at
+    the next source or at the store.
 
     Parameters
     ----------
     store
-        Where the objects are.
-    peers, directory
-        The other entries.
+        Client of the store.
+    peers
+        Client for requests to other entries.
+    directory
+        Addresses of the other entries.
     choice
-        Which of them to ask.
+        Chooses the source.
     bounds
-        How long to wait there.
+        Time limit for the reply of a source.
     clock
-        The time.
+        Clock of this process.
     """
 
     def __init__(
@@ -68,56 +74,73 @@
         self._choice = choice
         self._bounds = bounds
         self._clock = clock
-        #: What this process follows for others, if it is an entry.
+        #: Answers the watch requests of other processes; ``None`` if this
+        #: process is not an entry.
         self.own_source: NewsSource | None = None
 
     async def changes(self, watch: Watch, since: Revision) -> Changes | Outcome:
-        """Wait for changes since a revision; none came if it is empty."""
+        """Wait for changes since a revision.
+
+        Parameters
+        ----------
+        watch
+            The kind, and how closely it is followed.
+        since
+            Revision that this process knows.
+
+        Returns
+        -------
+        Changes or Outcome
+            Empty changes if there were none during the wait, ``HISTORY_GONE``
+            if the kind has to be listed, and any other outcome if the store
+            can't be reached.
+        """
         now = self._clock.elapsed()
-        own = self.own_source
+        own_source = self.own_source
         if (
-            own is not None
-            and own.follows(watch.kind)
+            own_source is not None
+            and own_source.follows(watch.kind)
             and not self._choice.rests(self._choice.node, now)
         ):
-            return await self._ask_own(own, watch, since)
+            return await self._changes_from_own_source(own_source, watch, since)
         source = self._choice.choose(self._directory.with_own, now)
         if source is None:
             return await self._direct.changes(watch, since)
-        return await self._ask(source, watch, since)
+        return await self._changes_from_source(source, watch, since)
 
-    async def _ask_own(
-        self, own: NewsSource, watch: Watch, since: Revision
+    async def _changes_from_own_source(
+        self, own_source: NewsSource, watch: Watch, since: Revision
     ) -> Changes | Outcome:
-        found = await own.changes(watch, since)
+        found = await own_source.changes(watch, since)
         if not isinstance(found, Outcome):
             return found
         if found is not Outcome.HISTORY_GONE:
-            self._leave_alone(self._choice.node, silent=False)
+            self._suspend_source(self._choice.node, silent=False)
         return Outcome.HISTORY_GONE
 
-    async def _ask(
+    async def _changes_from_source(
         self, source: NodeId, watch: Watch, since: Revision
     ) -> Changes | Outcome:
-        asked_at = self._clock.uptime()
-        reply = await self._reply(
-            self._directory.entries[source].address, _question(watch, since)
+        requested_at = self._clock.uptime()
+        reply = await self._request_changes(
+            self._directory.entries[source].address, _to_request(watch, since)
         )
         if isinstance(reply, KindChanges):
-            return _told(reply, asked_at)
+            return _to_changes(reply, requested_at)
         if not isinstance(reply, HistoryGone):
-            self._leave_alone(source, silent=reply is None)
+            self._suspend_source(source, silent=reply is None)
         return Outcome.HISTORY_GONE
 
-    async def _reply(
+    async def _request_changes(
         self, address: Address, message: WatchKind
     ) -> PeerReply | None:
-        """Return the source's reply; None if there is none in time.
+        """Return the source's reply; ``None`` if there is none in time.
 
-        Failure: the source is silent, and so is the kept connection to it. A
-        call that got no answer on one is sent again on a new one, for as
-        long as the first. Symptom: a change is known after twice the wait,
-        beyond the bound.
+        Failure: the source does not answer, and the request was sent on a
+        kept-alive connection. The HTTP client then sends it again on a new
+        connection and waits for as long once more. Symptom: this process
+        learns of a change after twice the wait, beyond the bound. The timeout
+        here covers both attempts.
         """
         wait = self._bounds.answer_wait
         try:
@@ -126,7 +149,7 @@
         except TimeoutError:
             return None
 
-    def _leave_alone(self, source: NodeId, silent: bool) -> None:
+    def _suspend_source(self, source: NodeId, silent: bool) -> None:
         _log.info(
             'peers: no news from %s: %s',
             source,
@@ -139,17 +162,17 @@
             self._choice.ignorant(source, now)
 
 
-def _question(watch: Watch, since: Revision) -> WatchKind:
+def _to_request(watch: Watch, since: Revision) -> WatchKind:
     proof = watch.proof or dt.timedelta()
     return WatchKind(
         watch.kind, since, utils.to_ms(watch.gather), utils.to_ms(proof)
     )
 
 
-def _told(reply: KindChanges, asked_at: dt.timedelta) -> Changes:
+def _to_changes(reply: KindChanges, requested_at: dt.timedelta) -> Changes:
     proven_at = (
         None
         if reply.proven_ms is None
-        else asked_at + utils.from_ms(reply.proven_ms)
+        else requested_at + utils.from_ms(reply.proven_ms)
     )
     return Changes(reply.changes, reply.revision, proven_at)
--- a/bergamotdoor/peers/strike_sharing.py
+++ b/bergamotdoor/peers/strike_sharing.py
@@ -1,4 +1,7 @@
-"""Tells all entries under which requests upstreams ended."""
+"""Share with all entries which requests upstreams were running when they ended.
+
+Such a pair of a request and an upstream is called a strike.
+"""
 
 from __future__ import annotations
 
@@ -23,48 +26,52 @@
     from bergamotdoor.tasks import Tasks
     from bergamotdoor.types import NodeId
 
-#: How often an entry that does not answer is told, and the pause between:
-#: for longer than entries are cut off for a moment. One that is away for
-#: longer finds them in the store.
-_TELL_ATTEMPTS: Final = 10
-_PAUSE: Final = dt.timedelta(seconds=1)
-#: Strikes are gathered for so long before the other entries are told: one
-#: message to each, not one for each request that ran at an upstream.
-_GATHER_MS: Final = 50
-_GATHER: Final = dt.timedelta(milliseconds=_GATHER_MS)
-#: Strikes that are kept in the store, some 100 bytes each.
-_MOST_KEPT: Final = 128
+#: How often strikes are sent to an entry that does not answer, and the pause
+#: between the attempts. Together they last longer than the usual short network
+#: interruption. An entry that is unreachable for longer reads the strikes from
+#: the store.
+_MAX_SEND_ATTEMPTS: Final = 10
+_RETRY_PAUSE: Final = dt.timedelta(seconds=1)
+#: Strikes are collected for so long before they are sent, so that each entry
+#: gets one message and not one for each request that an upstream was running.
+_BATCH_DELAY_MS: Final = 50
+_BATCH_DELAY: Final = dt.timedelta(milliseconds=_BATCH_DELAY_MS)
+#: How many strikes an entry keeps in the store, some 100 bytes each.
+_MAX_STORED_STRIKES: Final = 128
 
 _log = logging.getLogger('bergamotdoor.peers')
 
 
-class _Kept(msgspec.Struct, frozen=True):
-    """What an entry writes to the status of its own record."""
+class _StoredStrikes(msgspec.Struct, frozen=True):
+    """The strikes in the status of an entry's record."""
 
     strikes: tuple[Strike, ...] = ()
 
 
 class StrikeSharing:
-    """Passes strikes on to the other entries, and keeps them.
+    """Sends strikes to the other entries and keeps them in the store.
 
-    Failure: a request comes again at an entry that has not seen what it
-    did, or after all entries have lost power. Symptom: it ends as many
-    upstreams there as it ended before. Entries are told within
-    milliseconds; the record that each entry has in the store anyway, and
-    that all others list, holds what a new process has to know.
+    Failure: a request that makes upstreams crash arrives again at an entry
+    that has no strikes of it, or after all entries have lost power. Symptom:
+    it ends as many upstreams there as it ended before. Strikes reach the other
+    entries within milliseconds. They are also kept in the record that each
+    entry has in the store anyway. All entries list these records, so a new
+    process learns the strikes from them.
 
     Parameters
     ----------
     quarantine
-        What this process knows.
+        The strikes that this process knows.
     store
-        Where entries have their records.
-    peers, directory
-        The other entries.
+        Client of the store that holds the records of the entries.
+    peers
+        Client for requests to other entries.
+    directory
+        Addresses of the other entries, and the source of their statuses.
     node
-        This process.
+        Node of this process.
     clock
-        For the pauses.
+        Clock for the pauses.
     """
 
     def __init__(
@@ -82,77 +89,80 @@
         self._directory = directory
         self._node = node
         self._clock = clock
-        self._untold: list[Strike] = []
-        self._to_tell = asyncio.Event()
-        self._to_keep = asyncio.Event()
+        self._unsent: list[Strike] = []
+        self._send_needed = asyncio.Event()
+        self._store_needed = asyncio.Event()
         directory.on_status = self.take_kept
 
     def start(self, tasks: Tasks) -> None:
-        """Tell and keep from now on."""
-        tasks.start(self._keep())
-        tasks.start(self._tell_all(tasks))
+        """Start the tasks that send and store strikes."""
+        tasks.start(self._store_strikes())
+        tasks.start(self._send_to_all(tasks))
 
     def add(self, strike: Strike) -> None:
-        """Take a strike that this process has seen."""
+        """Record a strike that this process has observed."""
         if self._quarantine.add(strike, self._clock.elapsed()):
-            self._untold.append(strike)
-            self._to_tell.set()
-            self._to_keep.set()
+            self._unsent.append(strike)
+            self._send_needed.set()
+            self._store_needed.set()
 
     def take(self, message: StrikesLearned) -> None:
-        """Take what another entry has seen."""
+        """Record the strikes that another entry has sent."""
         now = self._clock.elapsed()
         for strike in message.strikes:
             self._quarantine.add(strike, now)
 
     def take_kept(self, status: bytes, *, own: bool) -> None:
-        """Take what an entry keeps in its record.
+        """Record the strikes that an entry keeps in its record.
 
         Parameters
         ----------
         status
-            Of the record.
+            The encoded status of the record.
         own
-            Whether it is this node's record, of an earlier process. What
-            it keeps is written again with what is new.
+            Whether the record belongs to this node; an earlier process has
+            written it then. Its strikes are written again together with the
+            new ones.
         """
         try:
             with reading('strikes'):
-                kept = msgspec.json.decode(status, type=_Kept | None)
+                stored = msgspec.json.decode(status, type=_StoredStrikes | None)
         except UnreadableError as error:
-            _log.warning('peers: a record is left out: %s', error)
+            _log.warning('peers: status of a record is skipped: %s', error)
             return
-        if kept is not None:
-            self.take(StrikesLearned(kept.strikes))
-        if own and kept is not None:
-            self._to_keep.set()
+        if stored is not None:
+            self.take(StrikesLearned(stored.strikes))
+        if own and stored is not None:
+            self._store_needed.set()
 
-    async def _tell_all(self, tasks: Tasks) -> None:
+    async def _send_to_all(self, tasks: Tasks) -> None:
         while True:
-            await self._to_tell.wait()
-            # All that ran at an upstream breaks within milliseconds.
-            await self._clock.sleep(_GATHER)
-            self._to_tell.clear()
-            message = StrikesLearned(tuple(self._untold))
-            self._untold.clear()
+            await self._send_needed.wait()
+            # All requests that ran at an upstream fail within milliseconds.
+            await self._clock.sleep(_BATCH_DELAY)
+            self._send_needed.clear()
+            message = StrikesLearned(tuple(self._unsent))
+            self._unsent.clear()
             for entry in self._directory.entries.values():
-                tasks.start(self._tell(entry.address, message))
+                tasks.start(self._send_to(entry.address, message))
 
-    async def _tell(self, address: Address, message: StrikesLearned) -> None:
-        for _ in range(_TELL_ATTEMPTS):
+    async def _send_to(self, address: Address, message: StrikesLearned) -> None:
+        for _ in range(_MAX_SEND_ATTEMPTS):
             if isinstance(await self._peers.ask(address, message), Done):
                 return
-            await self._clock.sleep(_PAUSE)
+            await self._clock.sleep(_RETRY_PAUSE)
 
-    async def _keep(self) -> None:
+    async def _store_strikes(self) -> None:
         while True:
-            await self._to_keep.wait()
-            self._to_keep.clear()
-            kept = _Kept(newest(self._quarantine, _MOST_KEPT))
-            found = await self._store.put_status(
-                ENTRY_KIND, self._node, msgspec.json.encode(kept)
+            await self._store_needed.wait()
+            self._store_needed.clear()
+            stored = _StoredStrikes(
+                newest(self._quarantine, _MAX_STORED_STRIKES)
+            )
+            written = await self._store.put_status(
+                ENTRY_KIND, self._node, msgspec.json.encode(stored)
             )
-            if isinstance(found, Outcome):
-                # Also where the record is not written yet.
-                self._to_keep.set()
-                await self._clock.sleep(_PAUSE)
+            if isinstance(written, Outcome):
+                # The entry's record may not have been created yet.
+                self._store_needed.set()
+                await self._clock.sleep(_RETRY_PAUSE)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -225,7 +225,7 @@
     Mutation(
         'a store that is down for all is not asked by every way',
         'peers/relay.py',
-        'if self.directory is None or self._closed():',
+        'if self.directory is None or self._is_relay_paused():',
         'if self.directory is None:',
         'peers_relay',
     ),
@@ -408,7 +408,7 @@
     Mutation(
         'a source tells nothing once its watch is not answered in time',
         'peers/news_source.py',
-        'async with asyncio.timeout(self._trusted.total_seconds()):',
+        'async with asyncio.timeout(self._answer_timeout.total_seconds()):',
         'async with asyncio.timeout(60):',
         _NEWS,
     ),
@@ -422,9 +422,9 @@
     Mutation(
         'whoever hears nothing from a source lists',
         'peers/shared_news.py',
-        '            self._leave_alone(source, silent=reply is None)\n'
+        '            self._suspend_source(source, silent=reply is None)\n'
         '        return Outcome.HISTORY_GONE',
-        '            self._leave_alone(source, silent=reply is None)\n'
+        '            self._suspend_source(source, silent=reply is None)\n'
         '        return Changes((), since)',
         _NEWS,
     ),
@@ -481,7 +481,7 @@
     Mutation(
         'other entries are told under which requests upstreams ended',
         'peers/strike_sharing.py',
-        '            self._to_tell.set()\n',
+        '            self._send_needed.set()\n',
         '',
         _CRASHES,
     ),
