--- a/bergamotdoor/reporting/counting.py
+++ b/bergamotdoor/reporting/counting.py
@@ -1,4 +1,4 @@
-"""Counts an entry's requests, and tells whoever reports them."""
+"""Request counts of one entry for the usage reports."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
     from bergamotdoor.duties.usage import UsageBook
     from bergamotdoor.types import AccountId, NodeId
 
-#: A request that was sent in a window may be entered a little later.
-_SETTLE_MS: Final = 300
-_SETTLE: Final = dt.timedelta(milliseconds=_SETTLE_MS)
-#: Windows for which a process that ends has counted all that it ever will.
-_FOR_GOOD: Final = 1000
+#: A request that a caller sent in a window may reach the counter so much later.
+_ENTER_DELAY_MS: Final = 300
+_ENTER_DELAY: Final = dt.timedelta(milliseconds=_ENTER_DELAY_MS)
+#: A process that stops declares so many windows after the current one complete,
+#: as it will never count a request in them.
+_WINDOWS_AFTER_CLOSE: Final = 1000
 
 
 class UsageCounter:
@@ -27,11 +28,13 @@
     Parameters
     ----------
     clock
-        The time.
+        Clock of this process.
     length
-        How long a window is.
-    node, boot
-        This process.
+        Length of a window.
+    node
+        Node of this process.
+    boot
+        Random identifier of this start of the process.
     """
 
     def __init__(
@@ -43,69 +46,84 @@
         self._clock = clock
         self._true_time = TrueTime()
         self._tally = UsageTally()
-        #: When requests came whose end is open, by a number of their own.
-        self._open: dict[int, dt.datetime] = {}
-        self._last = 0
+        #: Arrival times of the requests in progress, by request number.
+        self._open_requests: dict[int, dt.datetime] = {}
+        self._last_number = 0
         self._closed = False
 
     def true_time(self) -> dt.datetime:
-        """Return the true time."""
+        """Return the time of day, corrected for jumps of the wall clock."""
         clock = self._clock
         return self._true_time.read(clock.now(), clock.uptime())
 
     def enter(self) -> int:
-        """Take that a request came; its window stays open for it."""
-        self._last += 1
-        self._open[self._last] = self.true_time()
-        return self._last
+        """Register the arrival of a request.
+
+        Its window is not complete until `leave` is called.
+
+        Returns
+        -------
+        int
+            Number of the request, for `leave`.
+        """
+        self._last_number += 1
+        self._open_requests[self._last_number] = self.true_time()
+        return self._last_number
 
     def leave(
         self, number: int, account: AccountId, began: dt.timedelta | None
     ) -> None:
-        """Take what became of a request.
+        """Register the end of a request, and count it if it ran.
 
         Parameters
         ----------
         number
-            What entering it returned.
+            Number that `enter` returned for the request.
         account
-            Whose it was.
+            Client account of the request; empty if there is none.
         began
-            When it began to run, in the clock's monotonic time; None if it
-            did not.
+            Monotonic time at which an upstream began to run the request;
+            ``None`` if it did not run.
         """
-        self._open.pop(number)
+        self._open_requests.pop(number)
         if account and began is not None:
             moment = self.true_time() - (self._clock.elapsed() - began)
             self._tally.add(account, self.windows.at(moment))
 
     def close(self) -> None:
-        """Take that no more requests come."""
+        """Register that no more requests arrive."""
         self._closed = True
 
     def reported(self, below: UsageWindow) -> None:
-        """Forget windows whose reports are decided."""
+        """Remove windows whose reports are decided.
+
+        Parameters
+        ----------
+        below
+            All windows below this one are decided.
+        """
         self._tally.reported(below)
 
     def told(self) -> EntryUsage:
-        """Return what is counted and not reported."""
+        """Return the counts that are not reported yet."""
         return EntryUsage(
             self.node, self.boot, self._tally.counts(), self.whole_below
         )
 
     @property
     def whole_below(self) -> UsageWindow:
-        """The window below which all are whole."""
+        """The window below which all windows are complete in this entry."""
         now = self.true_time()
         if self._closed:
-            return UsageWindow(self.windows.at(now) + _FOR_GOOD)
-        oldest = min(self._open.values(), default=now)
-        return self.windows.at(min(oldest, now - _SETTLE))
+            return UsageWindow(self.windows.at(now) + _WINDOWS_AFTER_CLOSE)
+        oldest = min(self._open_requests.values(), default=now)
+        return self.windows.at(min(oldest, now - _ENTER_DELAY))
 
 
 class UsageCounts(NamedTuple):
-    """What is known of the requests that nobody has reported yet."""
+    """Counts of the requests that are not reported yet."""
 
+    #: Counts the requests of this entry.
     own: UsageCounter
-    #: What all entries have told this one, itself among them.
+    #: Counts that all entries have sent to this one, including itself.
     told: UsageBook
--- a/bergamotdoor/reporting/duty_peers.py
+++ b/bergamotdoor/reporting/duty_peers.py
@@ -1,4 +1,4 @@
-"""The other entries, as whoever has a duty and its successors see them."""
+"""Succession of the entries in a duty, and its announcement to them."""
 
 from __future__ import annotations
 
@@ -19,25 +19,27 @@
     from bergamotdoor.settings.document import Address
     from bergamotdoor.tasks import Tasks
 
-#: Entries know each other so long after their start.
-_SETTLED_S: Final = 5
-_SETTLED: Final = dt.timedelta(seconds=_SETTLED_S)
-_ORDER_KEY: Final = 'usage'
+#: Entries know each other's addresses so long after their start.
+_DISCOVERY_S: Final = 5
+_DISCOVERY: Final = dt.timedelta(seconds=_DISCOVERY_S)
+_SUCCESSION_KEY: Final = 'usage'
 
 
 class DutyPeers:
-    """Knows who should have the duty, and tells the others who has it.
+    """Orders the entries as successors, and announces the holder to them.
 
     Parameters
     ----------
     node
-        This process.
-    peers, directory
-        The other entries.
+        Node of this process.
+    peers
+        Client for requests to other entries.
+    directory
+        Addresses of the other entries.
     tasks
-        Runs what tells them.
+        Runs the tasks that send announcements.
     clock
-        The time.
+        Clock of this process.
     """
 
     def __init__(
@@ -57,36 +59,36 @@
 
     @property
     def settled(self) -> bool:
-        """Whether this process can know the other entries."""
-        return self._clock.elapsed() - self._started_at > _SETTLED
+        """Whether this process has run long enough to know the others."""
+        return self._clock.elapsed() - self._started_at > _DISCOVERY
 
     def successors(self, known: KnownRecord | None) -> list[NodeId]:
-        """Return who would have the duty next, the first one first."""
+        """Return the entries that would take the duty over, in order."""
         holder = None if known is None else known.record.holder
-        order = hrw_order(_ORDER_KEY, self._directory.with_own)
+        order = hrw_order(_SUCCESSION_KEY, self._directory.with_own)
         return [NodeId(name) for name in order if name != holder]
 
     def turn(self, known: KnownRecord | None) -> int:
-        """Return how many processes would take the duty before this one."""
+        """Return how many entries would take the duty over before this one."""
         order = self.successors(known)
         return order.index(self.node) if self.node in order else 0
 
     def address(self, node: NodeId) -> Address | None:
-        """Return where another entry is; None if it is not known."""
+        """Return the address of another entry; ``None`` if unknown."""
         entry = self._directory.entries.get(node)
         return None if entry is None else entry.address
 
     def announce(self, known: KnownRecord) -> None:
-        """Tell all entries who has the duty."""
+        """Send the duty's record, without its reports, to all entries."""
         record = msgspec.structs.replace(known.record, reports=())
         message = DutyHeld(record, known.revision)
         for entry in self._directory.entries.values():
-            self._tasks.start(self._tell(entry.address, message))
+            self._tasks.start(self._send_to(entry.address, message))
 
     @property
     def count(self) -> int:
-        """How many other entries there are."""
+        """The number of other entries that are known."""
         return len(self._directory.entries)
 
-    async def _tell(self, address: Address, message: DutyHeld) -> None:
+    async def _send_to(self, address: Address, message: DutyHeld) -> None:
         await self.client.ask(address, message)
--- a/bergamotdoor/reporting/receiver.py
+++ b/bergamotdoor/reporting/receiver.py
@@ -1,4 +1,4 @@
-"""Sends reports to the platform's receiver."""
+"""Client of the platform's receiver of usage reports."""
 
 from __future__ import annotations
 
@@ -30,23 +30,32 @@
     from bergamotdoor.http.messages import Client
     from bergamotdoor.settings.document import Address
 
-_MOST_BYTES: Final = 65_536
+_MAX_RESPONSE_BYTES: Final = 65_536
 
 _log = logging.getLogger('bergamotdoor.reporting')
 
 
 class Receipt(enum.Enum):
-    """What the receiver made of a report."""
+    """How the receiver handled a report."""
 
+    #: The receiver accepted the report.
     TAKEN = 'taken'
-    #: It refuses this report for good.
+    #: The receiver rejected the report permanently.
     REJECTED = 'rejected'
-    #: It may be sent again, and may have been taken.
+    #: The receiver may have accepted the report, which may be sent again.
     OPEN = 'open'
 
 
 class Receiver:
-    """Sends reports; none is repeated here."""
+    """Client that sends reports to the receiver, without retries.
+
+    Parameters
+    ----------
+    client
+        HTTP client that carries the requests.
+    address
+        Address of the receiver.
+    """
 
     def __init__(self, client: Client, address: Address) -> None:
         self._client = client
@@ -55,7 +64,17 @@
     async def send(
         self, record: DutyRecord, report: UsageReport, timeout: dt.timedelta
     ) -> Receipt:
-        """Send a report as the holder that a record names."""
+        """Send a report in the name of the duty's holder.
+
+        Parameters
+        ----------
+        record
+            Record of the duty; the request carries its holder and token.
+        report
+            The report.
+        timeout
+            Time limit for the request.
+        """
         headers = (
             ('content-type', 'application/json'),
             (DUTY_HOLDER, record.holder),
@@ -68,7 +87,8 @@
             headers=Headers.of(headers),
             body=usage_body(report),
             timeout=timeout,
-            # One that went silent would hold the report beyond its time.
+            # An idle connection that has died silently would hold the report
+            # back until after the time for which the holder may act.
             idempotent=False,
         )
         response = await send(self._client, request)
@@ -78,11 +98,11 @@
             )
             return Receipt.OPEN
         try:
-            await response.read_body(_MOST_BYTES)
+            await response.read_body(_MAX_RESPONSE_BYTES)
         except (BodyBrokenError, BodyTooLargeError) as error:
             _log.warning('reporting: window %d: %r', report.window, error)
             return Receipt.OPEN
-        receipt = _receipt(response.status)
+        receipt = _receipt_for_status(response.status)
         _log.info(
             'reporting: window %d, %d requests, token %d: status %d',
             report.window,
@@ -93,10 +113,10 @@
         return receipt
 
 
-def _receipt(status: int) -> Receipt:
+def _receipt_for_status(status: int) -> Receipt:
     if status < HTTPStatus.MULTIPLE_CHOICES:
         return Receipt.TAKEN
-    again = status == HTTPStatus.TOO_MANY_REQUESTS
-    if again or status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+    is_limited = status == HTTPStatus.TOO_MANY_REQUESTS
+    if is_limited or status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return Receipt.OPEN
     return Receipt.REJECTED
--- a/bergamotdoor/reporting/record.py
+++ b/bergamotdoor/reporting/record.py
@@ -29,38 +29,38 @@
     Parameters
     ----------
     store
-        Where it is.
+        Client of the store that holds the record.
     clock
-        Tells since when it is unchanged.
+        Clock that timestamps each new revision of the record.
     """
 
     def __init__(self, store: ObjectClient, clock: Clock) -> None:
         self._store = store
         self._clock = clock
         self._reader = ObjectReader(_log, 'reporting')
-        #: The newest record that this process knows.
+        #: Newest record that this process knows; ``None`` if there is none.
         self.known: KnownRecord | None = None
 
     @property
     def reports(self) -> tuple[UsageReport, ...]:
-        """What is decided and perhaps not received, as far as it is read."""
+        """Decided reports that the receiver may lack, as far as known."""
         return () if self.known is None else self.known.record.reports
 
     def learn(self, record: DutyRecord, revision: Revision) -> None:
-        """Take a record that another process wrote; an older one is none."""
+        """Remember a record of another process, unless it is not newer."""
         if self.known is None or self.known.revision < revision:
             now = self._clock.uptime()
             self.known = KnownRecord(record, revision, now)
 
     async def read(self) -> KnownRecord | None:
-        """Return the record as stored, or as known if the store can't tell.
+        """Return the stored record, or the known one if the read fails.
 
-        No write is done at the revision of one that is outdated, and none is
-        created beside one that exists.
+        An outdated record does no harm: the store rejects a write on
+        condition of its revision, and the creation of a second record.
         """
         found = await self._store.get(DUTY_KIND, USAGE_NAME)
         if isinstance(found, StoredObject):
-            self._take(found)
+            self._learn_stored(found)
         return self.known
 
     async def write(self, record: DutyRecord) -> bool:
@@ -69,8 +69,8 @@
         Returns
         -------
         bool
-            Whether it was surely done. If it was not, the one that was in
-            the way is known then.
+            Whether the write surely took effect. If another record prevented
+            it, that record is the known one afterwards.
         """
         spec = msgspec.json.encode(record)
         if self.known is None:
@@ -80,25 +80,26 @@
                 DUTY_KIND, USAGE_NAME, spec, self.known.revision
             )
         if isinstance(outcome, StoredObject):
-            self._take(outcome)
+            self._learn_stored(outcome)
             return True
         if isinstance(outcome, Conflict) and outcome.current is not None:
-            self._take(outcome.current)
+            self._learn_stored(outcome.current)
         elif isinstance(outcome, Outcome):
             _log.info('reporting: record not written: %s', outcome.value)
         return False
 
-    def _take(self, stored: StoredObject) -> None:
-        record = self._reader.read(stored, _record)
+    def _learn_stored(self, stored: StoredObject) -> None:
+        """Remember the record as the store returned it, if it is readable."""
+        record = self._reader.read(stored, _parse_record)
         if record is None:
             return
         if self.known is not None and self.known.revision == stored.revision:
-            # A broadcast leaves out what is decided.
+            # An announced record lacks the reports that the stored one has.
             self.known = msgspec.structs.replace(self.known, record=record)
         else:
             self.learn(record, stored.revision)
 
 
-def _record(stored: StoredObject) -> DutyRecord:
+def _parse_record(stored: StoredObject) -> DutyRecord:
     with reading('duty'):
         return msgspec.json.decode(stored.spec, type=DutyRecord)
--- a/bergamotdoor/reporting/reporter.py
+++ b/bergamotdoor/reporting/reporter.py
@@ -1,4 +1,4 @@
-"""Reports usage if this process is the one that does."""
+"""Decide and send usage reports while this process has the duty."""
 
 from __future__ import annotations
 
@@ -25,20 +25,23 @@
     from bergamotdoor.settings.node import DutySettings
     from bergamotdoor.types import Revision
 
-_TICK_MS: Final = 250
-_TICK: Final = dt.timedelta(milliseconds=_TICK_MS)
-#: Of the time until a report is due: how long entries are waited for that
-#: have not told all. The rest is for a takeover.
-_COLLECT_SHARE: Final = 0.6
-#: The same, for each process in turn that would take the duty over.
-_TURN_SHARE: Final = 0.07
-#: An entry that told nothing for so many windows is not waited for.
-_ALIVE_WINDOWS: Final = 3
-#: How long a new holder waits until the entries have told it their counts.
-_TOLD_MS: Final = 700
-_TOLD: Final = dt.timedelta(milliseconds=_TOLD_MS)
-#: Windows that are decided at once after a long outage.
-_MOST_DECIDED: Final = 6
+_POLL_INTERVAL_MS: Final = 250
+_POLL_INTERVAL: Final = dt.timedelta(milliseconds=_POLL_INTERVAL_MS)
+#: Share of the time until a report is due for which the holder waits for
+#: entries whose counts of the window are incomplete. The rest is reserved for a
+#: takeover.
+_COLLECTION_SHARE: Final = 0.6
+#: Share of the same time that each successor waits, in their order, before the
+#: next one takes the duty over.
+_SUCCESSOR_SHARE: Final = 0.07
+#: The holder does not wait for an entry that sent no counts for so many
+#: windows.
+_MAX_SILENT_WINDOWS: Final = 3
+#: How long a new holder waits for the counts of the entries.
+_TAKEOVER_COLLECTION_MS: Final = 700
+_TAKEOVER_COLLECTION: Final = dt.timedelta(milliseconds=_TAKEOVER_COLLECTION_MS)
+#: How many windows one write decides at most, after a long outage.
+_MAX_DECIDED_WINDOWS: Final = 6
 
 _log = logging.getLogger('bergamotdoor.reporting')
 
@@ -46,25 +49,25 @@
 class UsageReporter:
     """Decides and sends reports as long as this process has the duty.
 
-    Failure: a holder is killed, paused or cut off around a report. Symptom:
-    two reports of one window with different counts, or none. What is sent is
-    decided by the write that also proves the duty, so a successor finds it
-    and repeats it exactly.
+    Failure: a holder is killed, paused or cut off while it sends a report.
+    Symptom: two reports of one window with different counts, or none. The
+    reports are decided by the same write that confirms the holder's duty, so
+    a successor finds them in the record and sends exactly the same.
 
     Parameters
     ----------
     counts
-        What the entries have counted.
+        Counts of this entry, and those received from all entries.
     store
-        Where the duty's record is.
+        Store of the duty's record.
     receiver
-        Takes the reports.
+        Client that sends the reports.
     peers
-        The other entries.
+        Succession of the entries, and announcements to them.
     settings
-        The bounds.
+        Length of a window, and the time limits for reports and takeovers.
     clock
-        The time.
+        Clock of this process.
     """
 
     def __init__(
@@ -84,12 +87,13 @@
         self._settings = settings
         self._bounds = TenureBounds(settings.lease)
         self._clock = clock
-        #: Reports begin with the first whole window of this process, if
-        #: there is no record that says where they end.
-        self._first = UsageWindow(
+        #: First complete window of this process. Reports begin with it if
+        #: there is no record that says which windows are decided.
+        self._first_window = UsageWindow(
             self._counter.windows.at(self._counter.true_time()) + 1
         )
-        #: Decided here or by a holder before, and not known to be taken.
+        #: Reports that this process or an earlier holder decided, and that
+        #: the receiver is not known to have accepted.
         self._pending: tuple[UsageReport, ...] = ()
         self._collect_until = clock.uptime()
 
@@ -100,76 +104,87 @@
         return known is not None and known.record.boot == self._counter.boot
 
     async def run(self, wanted: Callable[[], bool]) -> None:
-        """Work until cancelled, as long as reports are wanted."""
+        """Take the duty over if it is due, and report, until cancelled.
+
+        Parameters
+        ----------
+        wanted
+            Returns whether usage is to be reported at this time.
+        """
         while True:
-            await self._clock.sleep(_TICK)
+            await self._clock.sleep(_POLL_INTERVAL)
             if not wanted():
                 continue
             if self.holds:
-                await self._report()
+                await self._report_usage()
             elif self._is_overdue():
                 await self._take_over()
 
     def learn(self, record: DutyRecord, revision: Revision) -> None:
-        """Take who has the duty, and how far it has come."""
+        """Learn the duty's record that another process has announced."""
         self._store.learn(record, revision)
         self._forget_decided()
 
     def _is_overdue(self) -> bool:
-        """Return whether the holder should have decided by now.
+        """Return whether this process should try to take the duty over.
 
-        Where there is no record, the first of the entries makes one at once.
+        That is the case once the next window is not decided in time; each
+        successor waits longer than the one before it. If there is no record,
+        the first successor creates one without waiting.
         """
         turn = self._peers.turn(self._store.known)
         known = self._store.known
         if known is None and turn == 0:
             return self._peers.settled
         due = self._settings.usage_due
-        patience = due * (_COLLECT_SHARE + _TURN_SHARE * (turn + 1))
-        window = self._first if known is None else known.record.decided_below
-        over = self._counter.windows.end(window) + patience
-        return self._counter.true_time() > over
+        wait = due * (_COLLECTION_SHARE + _SUCCESSOR_SHARE * (turn + 1))
+        window = (
+            self._first_window if known is None else known.record.decided_below
+        )
+        deadline = self._counter.windows.end(window) + wait
+        return self._counter.true_time() > deadline
 
     async def _take_over(self) -> None:
-        if not self._may_take(self._store.known):
+        if not self._may_take_over(self._store.known):
             return
         known = await self._store.read()
         if self.holds:
-            self._go_on()
-        elif self._may_take(known):
-            await self._claim(self._next_record(known))
+            self._resume_reports()
+        elif self._may_take_over(known):
+            await self._claim_duty(self._next_record(known))
 
-    def _may_take(self, known: KnownRecord | None) -> bool:
-        """Return whether the duty is free, or its holder surely silent."""
+    def _may_take_over(self, known: KnownRecord | None) -> bool:
+        """Return whether the duty is free, or its holder surely inactive."""
         now = self._clock.uptime()
         return known is None or self._bounds.may_take(known, now)
 
     def _next_record(self, known: KnownRecord | None) -> DutyRecord:
         node, boot = self._counter.node, self._counter.boot
         if known is None:
-            return DutyRecord(node, FencingToken(1), boot, self._first)
+            return DutyRecord(node, FencingToken(1), boot, self._first_window)
         return taken_over(known.record, node, boot)
 
-    async def _claim(self, record: DutyRecord) -> None:
-        if await self._write(record) or self.holds:
+    async def _claim_duty(self, record: DutyRecord) -> None:
+        if await self._write_record(record) or self.holds:
             _log.warning('reporting: taken over, token %d', record.token)
-            self._go_on()
-            self._collect_until = self._clock.uptime() + _TOLD
+            self._resume_reports()
+            self._collect_until = self._clock.uptime() + _TAKEOVER_COLLECTION
 
-    def _go_on(self) -> None:
-        """Go on with what is decided, by this process or a holder before.
+    def _resume_reports(self) -> None:
+        """Continue with the decided reports of the known record.
 
-        A write of this process that was done without an answer is found in
-        the store, and what it holds is not lost with the answer.
+        This process or an earlier holder decided them. If a write of this
+        process took effect and its answer was lost, its reports are found in
+        the stored record.
         """
         self._pending = self._store.reports
 
-    async def _report(self) -> None:
+    async def _report_usage(self) -> None:
         known = self._store.known
         now = self._clock.uptime()
         if known is None or now < self._collect_until:
             return
-        decided = tuple(self._decide(known))
+        decided = tuple(self._decide_reports(known))
         if not decided and not self._pending:
             return
         below = known.record.decided_below
@@ -179,37 +194,43 @@
             writes=known.record.writes + 1,
             reports=(*self._pending, *decided),
         )
-        if await self._write(record):
-            await self._send(record, now)
+        if await self._write_record(record):
+            await self._send_reports(record, now)
         elif self.holds:
-            self._go_on()
+            self._resume_reports()
 
-    def _decide(self, known: KnownRecord) -> Iterator[UsageReport]:
+    def _decide_reports(self, known: KnownRecord) -> Iterator[UsageReport]:
         first = known.record.decided_below
-        for number in range(first, first + _MOST_DECIDED):
+        for number in range(first, first + _MAX_DECIDED_WINDOWS):
             window = UsageWindow(number)
-            if not self._is_whole(window):
+            if not self._may_decide(window):
                 return
             yield UsageReport(window, self._book.counts(window))
 
-    def _is_whole(self, window: UsageWindow) -> bool:
-        """Return whether a window may be decided.
+    def _may_decide(self, window: UsageWindow) -> bool:
+        """Return whether this process may decide a window now.
 
-        One that hears less than half of the others is cut off, and leaves
-        the window to a process that hears more.
+        A process that hears from less than half of the other entries is cut
+        off from them, and leaves the window to a process that hears from more.
         """
         windows = self._counter.windows
         if self._counter.whole_below <= window:
             return False
-        since = self._clock.uptime() - windows.length * _ALIVE_WINDOWS
+        since = self._clock.uptime() - windows.length * _MAX_SILENT_WINDOWS
         missing = len(self._book.missing(window, since))
-        waited = self._settings.usage_due * _COLLECT_SHARE
-        if self._counter.true_time() < windows.end(window) + waited:
+        collection_time = self._settings.usage_due * _COLLECTION_SHARE
+        if self._counter.true_time() < windows.end(window) + collection_time:
             return not missing
         return missing * 2 <= self._book.alive(since)
 
-    async def _write(self, record: DutyRecord) -> bool:
-        """Write the duty's record; return whether it is surely this one."""
+    async def _write_record(self, record: DutyRecord) -> bool:
+        """Write and announce the duty's record.
+
+        Returns
+        -------
+        bool
+            Whether the write surely took effect.
+        """
         if not await self._store.write(record):
             return False
         self._forget_decided()
@@ -218,8 +239,10 @@
             self._peers.announce(known)
         return True
 
-    async def _send(self, record: DutyRecord, written_at: dt.timedelta) -> None:
-        left = []
+    async def _send_reports(
+        self, record: DutyRecord, written_at: dt.timedelta
+    ) -> None:
+        pending = []
         for report in record.reports:
             now = self._clock.uptime()
             receipt = Receipt.OPEN
@@ -230,8 +253,8 @@
             if receipt is Receipt.REJECTED:
                 _log.error('reporting: window %d rejected', report.window)
             elif receipt is Receipt.OPEN:
-                left.append(report)
-        self._pending = tuple(left)
+                pending.append(report)
+        self._pending = tuple(pending)
 
     def _forget_decided(self) -> None:
         known = self._store.known
--- a/bergamotdoor/reporting/telling.py
+++ b/bergamotdoor/reporting/telling.py
@@ -1,4 +1,4 @@
-"""Tells this entry's counts to whoever reports, and to the next one."""
+"""Send this entry's counts to the holder of the duty and to its successor."""
 
 from __future__ import annotations
 
@@ -17,32 +17,38 @@
     from bergamotdoor.reporting.record import DutyStore
     from bergamotdoor.types import NodeId
 
-#: An entry that is killed takes with it what it counted since the last time.
-_PAUSE_MS: Final = 500
-_PAUSE: Final = dt.timedelta(milliseconds=_PAUSE_MS)
-#: The holder takes a hundred messages a second, from however many entries.
-_PAUSE_EACH_MS: Final = 10
-_PAUSE_EACH: Final = dt.timedelta(milliseconds=_PAUSE_EACH_MS)
+#: Pause between two sends. If an entry is killed, the requests that it counted
+#: since the last send are lost.
+_SEND_PAUSE_MS: Final = 500
+_SEND_PAUSE: Final = dt.timedelta(milliseconds=_SEND_PAUSE_MS)
+#: The pause grows by this for each known entry, so that the holder receives at
+#: most a hundred messages a second, however many entries there are.
+_SEND_PAUSE_PER_ENTRY_MS: Final = 10
+_SEND_PAUSE_PER_ENTRY: Final = dt.timedelta(
+    milliseconds=_SEND_PAUSE_PER_ENTRY_MS
+)
 
 
 class UsageTeller:
-    """Tells counts as they grow.
+    """Sends counts to the duty's holder and its successor as they grow.
 
-    Failure: an entry is killed before its window ends, or the process that
-    reports is. Symptom: the report lacks the requests that only one of them
-    knew. Two processes know each count half a second after it grew; a third
-    one that takes the duty over is told all that is undecided.
+    Failure: an entry is killed before a window ends, or the process that
+    reports usage is killed. Symptom: the report lacks the requests that only
+    the killed process knew. Two processes know each count half a second after
+    it grew. A third process that takes the duty over receives the counts of
+    all undecided windows.
 
     Parameters
     ----------
     counts
-        What is told, and where what this process tells itself goes.
+        Counts of this entry, and the book for those received. This process
+        enters its own counts there if it is a receiver itself.
     store
-        Who has the duty.
+        Store of the duty's record, which names the holder.
     peers
-        The other entries.
+        Succession and addresses of the other entries.
     clock
-        For the pauses.
+        Clock that timestamps the counts.
     """
 
     def __init__(
@@ -57,46 +63,47 @@
         self._store = store
         self._peers = peers
         self._clock = clock
-        #: What each process was told last. One that has started again since
-        #: is told all that is undecided once the next window ends.
-        self._taken: dict[NodeId, EntryUsage] = {}
-        self._again = asyncio.Event()
+        #: The usage that each entry accepted last. An entry that restarts
+        #: receives all undecided counts once the next window ends.
+        self._last_accepted: dict[NodeId, EntryUsage] = {}
+        self._send_now = asyncio.Event()
 
     def begin_again(self) -> None:
-        """Tell soon: another process has the duty."""
-        self._again.set()
+        """Send the counts without a pause, since the holder may be new."""
+        self._send_now.set()
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Send the counts periodically until cancelled."""
         while True:
-            pause = max(_PAUSE, self._peers.count * _PAUSE_EACH)
+            pause = max(_SEND_PAUSE, self._peers.count * _SEND_PAUSE_PER_ENTRY)
             try:
                 async with asyncio.timeout(pause.total_seconds()):
-                    await self._again.wait()
+                    await self._send_now.wait()
             except TimeoutError:
-                pass  # noqa: WPS420 - the usual case: nothing has changed
-            self._again.clear()
+                pass  # noqa: WPS420 - usual case: the duty's record is the same
+            self._send_now.clear()
             await self.tell()
 
     async def tell(self) -> None:
-        """Tell whoever does not know it."""
+        """Send the current counts to each target that does not have them."""
         usage = self._counter.told()
         await asyncio.gather(
-            *(self._tell(node, usage) for node in self._targets())
+            *(self._send_to(node, usage) for node in self._targets())
         )
 
     def _targets(self) -> list[NodeId]:
+        """Return the holder and its successor; two successors without one."""
         known = self._store.known
         holder = [] if known is None else [known.record.holder]
         return [*holder, *self._peers.successors(known)[: 2 - len(holder)]]
 
-    async def _tell(self, node: NodeId, usage: EntryUsage) -> None:
+    async def _send_to(self, node: NodeId, usage: EntryUsage) -> None:
         if node == self._peers.node:
             self._book.take(usage, self._clock.uptime())
             return
         address = self._peers.address(node)
-        if address is None or self._taken.get(node) == usage:
+        if address is None or self._last_accepted.get(node) == usage:
             return
         reply = await self._peers.client.ask(address, UsageTold(usage))
         if isinstance(reply, Done):
-            self._taken[node] = usage
+            self._last_accepted[node] = usage
--- a/bergamotdoor/reporting/usage_duty.py
+++ b/bergamotdoor/reporting/usage_duty.py
@@ -1,4 +1,4 @@
-"""The parts of usage reporting in one entry."""
+"""Usage reporting in one entry: counting, sending counts, and reports."""
 
 from __future__ import annotations
 
@@ -28,35 +28,38 @@
 
 
 class DutyState(msgspec.Struct, frozen=True):
-    """Who reports usage, as an entry knows it."""
+    """The holder of the reporting duty and its progress, as an entry knows.
+
+    It is part of the state that an entry shows to operators.
+    """
 
     holder: NodeId
     token: FencingToken
     decided_below: UsageWindow
-    #: Whether it is this entry.
+    #: Whether this entry is the holder.
     own: bool
-    #: Decided, and not known to be received.
+    #: Number of decided reports that the receiver is not known to have.
     open_reports: int
 
 
 class UsageDuty:
-    """Counts requests here, and reports those of all entries if it must.
+    """Counts this entry's requests, and reports all entries' as the holder.
 
     Parameters
     ----------
     settings
-        Which process this is.
+        Settings of this process; they must have duties.
     access
-        The store and the other entries.
+        Clients of the store and of the other entries.
     client
-        Reaches the receiver.
+        HTTP client for requests to the receiver.
     clock
-        The time.
+        Clock of this process.
     tasks
-        Runs what tells other entries.
+        Runs the tasks that send announcements to other entries.
     """
 
-    #: What `take` takes.
+    #: Types of the messages that `take` handles.
     messages = (UsageTold, DutyHeld)
 
     def __init__(
@@ -69,7 +72,7 @@
     ) -> None:
         duties = settings.duties
         assert duties is not None, 'usage is not reported here'
-        #: Whether there are client accounts.
+        #: Whether usage is reported: whether there are client accounts.
         self.wanted = False
         boot = format(access.rng.getrandbits(_BOOT_BITS), 'x')
         self.counter = UsageCounter(
@@ -82,7 +85,7 @@
             settings.node, access.peers, access.directory, tasks, clock
         )
         counts = UsageCounts(self.counter, self._book)
-        self._teller = UsageTeller(counts, self._store, peers, clock)
+        self._usage_sender = UsageTeller(counts, self._store, peers, clock)
         self._reporter = UsageReporter(
             counts,
             self._store,
@@ -93,28 +96,28 @@
         )
 
     async def run(self) -> None:
-        """Count and report until cancelled."""
+        """Send counts and reports until cancelled."""
         await asyncio.gather(
-            self._teller.run(), self._reporter.run(lambda: self.wanted)
+            self._usage_sender.run(), self._reporter.run(lambda: self.wanted)
         )
 
     def take(self, message: UsageTold | DutyHeld) -> None:
-        """Take what another entry tells."""
+        """Handle a message of another entry."""
         if isinstance(message, UsageTold):
             self._book.take(message.usage, self._clock.uptime())
             return
         self._reporter.learn(message.record, message.revision)
-        self._teller.begin_again()
+        self._usage_sender.begin_again()
 
     async def close(self) -> None:
-        """Tell all that was counted: no more requests come here."""
+        """Stop counting, and send the final counts of this entry."""
         self.counter.close()
         if self.wanted:
-            await self._teller.tell()
+            await self._usage_sender.tell()
 
     @property
     def state(self) -> DutyState | None:
-        """Who has the duty; None if nobody is known to."""
+        """State of the duty; ``None`` if no record of it is known."""
         known = self._store.known
         if known is None:
             return None
--- a/features/steps/reporting_usage_steps.py
+++ b/features/steps/reporting_usage_steps.py
@@ -203,7 +203,7 @@
     usage = site.entries[name]._parts.usage
     assert usage is not None
     clock = SuspendableClock(site.clock)
-    for part in (usage._reporter, usage._teller):
+    for part in (usage._reporter, usage._usage_sender):
         part._clock = clock
     await clock.suspend(dt.timedelta(seconds=9))
 
