--- a/features/peers_codec.feature
+++ b/features/peers_codec.feature
@@ -1,14 +1,15 @@
-Feature: messages between entry processes
+Feature: encoding of messages between entry processes
 
-  Scenario: what is written is read again, whatever its size
-    Then 200 pages of results of any size are read as they were written
-    And a page of a step takes two thirds of its bytes
+  Scenario: encoded messages of any size are decoded unchanged
+    Then 200 pages of results of any size are decoded as they were encoded
+    And a page of results is compressed to two thirds of its size
 
-  Scenario Outline: what is no message is refused, whoever sent it
-    A process of another release, or something else at its port, answers.
-    The caller takes that for no answer; nothing else breaks.
+  Scenario Outline: malformed messages are rejected by both decoders
+    Guards against bytes that a process of another release, or another
+    program at the port of an entry, sends as a reply. The caller treats them
+    as a missing reply, and nothing else fails.
 
-    Then <bytes> are no request and no reply
+    Then <bytes> are rejected as a request and as a reply
 
     Examples:
       | bytes                                |
@@ -17,4 +18,4 @@
       | compressed bytes that are cut off    |
       | compressed bytes that are no message |
       | bytes that are not compressed at all |
-      | megabytes that are compressed well |
+      | megabytes that are compressed well   |
--- a/features/peers_news.feature
+++ b/features/peers_news.feature
@@ -1,25 +1,29 @@
-Feature: one entry of a zone watches the store for the others
+Feature: one entry of a zone watches the store for the other processes
 
-  Scenario: entries of a zone hear of changes from one of them
-    Each change of a manifest or an upstream ends a watch of every process.
-    With one process of a zone that watches, the others' calls are saved.
+  The source is the entry that watches the store for the other processes of
+  its availability zone. The others, its followers, wait for changes at the
+  source.
+
+  Scenario: the entries of a zone learn of changes from one of them
+    Each change of a manifest or an upstream ends a watch in every process. If
+    one process of the zone watches, the calls of the others are saved.
 
     Given a zone of 6 entries that is idle for 20 s
     Then fewer watches are made than by 3 entries that watch the store alone
 
-  Scenario: a zone of few entries watches the store
+  Scenario: every entry of a zone with few entries watches the store itself
     Given a zone of 3 entries that is idle for 20 s
-    Then no entry follows a kind for others
+    Then no entry watches the store for others
 
-  Scenario: an upstream that registers and leaves is known everywhere
+  Scenario: all entries learn that an upstream registers or drains
     Given a zone of 6 entries, of which one watches for the others
     When a service registers, and another one begins to drain
     Then every entry sends calls to the first and none to the second 2 s later
 
-  Scenario Outline: a manifest reaches everybody though the source <fault>
-    The entry that watches for its zone <fault>, and in the same moment the
-    manifest changes. Callers of the other entries, which lose nothing, must
-    be answered by it within the bound of two seconds.
+  Scenario Outline: the manifest reaches all entries although the source <fault>
+    The source <fault>, and the manifest changes at the same moment. The other
+    entries are not affected themselves and must use the new manifest within
+    the bound of two seconds.
 
     Given a zone of 6 entries, of which one watches for the others
     When that entry <fault> and the manifest changes
@@ -32,39 +36,40 @@
       | loses the store  |
       | stops as planned |
 
-  Scenario: two sources in series
-    The source is killed, the entry that follows it answers nothing, and the
-    manifest changes after each.
+  Scenario: two sources fail one after the other
+    The source is killed, then the next source answers nothing. The manifest
+    changes after each fault.
 
     Given a zone of 6 entries, of which one watches for the others
     When that entry is killed and the manifest changes
     And the next one answers nothing and the manifest changes
     Then each other entry has the newest manifest 2 s later
 
-  Scenario: the store forgets its history while one watches for the others
+  Scenario: the store drops its history while an entry watches for the others
     Given a zone of 6 entries, of which one watches for the others
     When the store drops its history with a change in it
     Then each other entry has the newest manifest 2 s later
 
-  Scenario: whoever follows a log of changes ends where the store is
-    Followers begin at any revision, ask at any moment, and may be told of a
-    change twice. None may keep what is gone or miss what is there.
+  Scenario: a follower of a change log ends with the objects of the store
+    A follower may begin at any revision, request changes at any time, and
+    receive a change twice. It must neither keep a removed object nor miss an
+    existing one.
 
-    Then in no history of changes a follower ends elsewhere than the store
+    Then after every history of changes a follower has the store's objects
 
-  Scenario: the bounds of a change's way leave time to list
-    Then with bounds of 2, 3 and 4 s each way takes less than three quarters
+  Scenario: the time limits for a change leave enough time for a listing
+    Then with bounds of 2, 3 and 4 s each limit is below 3/4 of it
 
-  Scenario: the source is the same for a zone, and another one while it rests
+  Scenario: all entries of a zone choose the same source, and the same next one
     Given the entries of a zone by name
     Then all choose one of them, which watches the store itself
     And while it is unreachable all choose the next, and after 30 s it again
     And with 3 of them unreachable all watch the store
 
-  Scenario: a source whose watch is never answered asks the store no faster
-    The store drops its history and leaves the source's watch open, beyond
-    its time. An entry that lists again and again until its own watch ends
-    makes hundreds of calls a second.
+  Scenario: a source whose watch is not answered does not list more often
+    The store drops its history and leaves the watch of the source open beyond
+    its duration. Guards against followers that list again and again until
+    that watch ends, with hundreds of calls a second.
 
     Given a zone of 6 entries, of which one watches for the others
     When the store answers no watch of the source for 6 s
--- a/features/peers_relay.feature
+++ b/features/peers_relay.feature
@@ -1,39 +1,40 @@
-Feature: calls of the store that go through other entries
+Feature: calls to the store that are relayed through other entries
 
-  Scenario: a store that is down for everyone is not asked by every way
-    The store refuses every entry. Each call would be made three times, once
-    by the own way and by two other entries, while nobody can be served; the
-    store comes back to three times the load.
+  Scenario: calls to a store that is down for everyone are rarely relayed
+    The store refuses every entry. Guards against sending each call three
+    times, directly and through two other entries, while none can succeed. The
+    store would receive three times the load when it recovers.
 
-    Given a store that refuses every way
+    Given a store that refuses calls on all paths
     When an entry makes a call each 100 ms for 2 s
-    Then other entries were asked at most 8 times
+    Then at most 8 calls are relayed
 
-  Scenario: a way that opens again is found within a second
-    The store refused every way, and then this entry alone. Its calls go
-    through the others again after at most a second.
+  Scenario: a path that recovers is used within a second
+    The store refused all paths, and then only the direct one of this entry.
+    The entry's calls are relayed again after at most a second.
 
-    Given a store that refuses every way
+    Given a store that refuses calls on all paths
     When an entry makes a call each 100 ms for 2 s
-    And the store takes calls of the other entries again
+    And the store accepts calls of the other entries again
     Then a call is answered within 1100 ms
 
-  Scenario: an answer that comes late by the own way is taken when it comes
-    The store answers after 400 ms, a little later than this entry's patience.
-    The call was made by another entry as well, which is slow, and its answer
-    was waited for though the own one had come: "the store is reached by
-    others only".
+  Scenario: a late answer to a direct call is returned when it arrives
+    The store answers after 400 ms, a little later than the entry's hedge
+    delay, so the call is also relayed through another entry, which is slow.
+    Guards against waiting for the relayed answer although the direct one has
+    arrived, and against logging "the store is reached by others only".
 
-    Given a store that answers after 400 ms by the own way
+    Given a store that answers direct calls after 400 ms
     And other entries that take 2 s
     Then a call is answered within 410 ms
-    And its next call goes the own way first
+    And the next call is sent directly first
 
-  Scenario: a call that may have been done is not told to be refused
-    The store is reached through others only, and one of them gives no answer
-    to a call: it may have been done. All ways refuse it then. Told that
-    nothing was done, a trainer takes its job elsewhere, and it runs twice.
+  Scenario: a call that may have taken effect is not reported as refused
+    The store is reached through other entries only, and one of them does not
+    answer a call, which may have taken effect. Then all paths refuse the call.
+    Guards against reporting that the call had no effect: the trainer would
+    submit its job elsewhere, and the job would run twice.
 
-    Given a store that takes calls through other entries only
-    When one of them gives no answer to a call, and the other ways refuse it
-    Then it is not known whether that call was done
+    Given a store that accepts calls through other entries only
+    When one of them does not answer a call, and the other paths refuse it
+    Then it is not known whether that call took effect
--- a/features/steps/peers_codec_steps.py
+++ b/features/steps/peers_codec_steps.py
@@ -19,7 +19,8 @@
 draws = hypothesis.strategies
 
 
-def page(count: int, size: int) -> ResultPage:
+def result_page(count: int, size: int) -> ResultPage:
+    """Return a page of `count` results with texts of `size` letters."""
     rng = random.Random(count)
     results = tuple(
         ItemResult(
@@ -32,38 +33,39 @@
     return ResultPage(count, results)
 
 
-@then('{count:d} pages of results of any size are read as they were written')
+@then('{count:d} pages of results of any size are decoded as they were encoded')
 def round_trip(_: Any, count: int) -> None:
     @hypothesis.settings(
         derandomize=True, max_examples=count, deadline=None, database=None
     )
     @hypothesis.given(draws.integers(0, 20), draws.integers(0, 2000))
     def check(results: int, size: int) -> None:
-        written = page(results, size)
-        assert codec.decode_reply(codec.encode(written)) == written
+        page = result_page(results, size)
+        assert codec.decode_reply(codec.encode(page)) == page
 
     check()
 
 
-@then('a page of a step takes two thirds of its bytes')
-def smaller(_: Any) -> None:
-    written = page(100, 2000)
-    plain = msgspec.msgpack.encode(written)
-    assert len(codec.encode(written)) < len(plain) * 0.67
+@then('a page of results is compressed to two thirds of its size')
+def check_compressed_size(_: Any) -> None:
+    page = result_page(100, 2000)
+    uncompressed = msgspec.msgpack.encode(page)
+    assert len(codec.encode(page)) < len(uncompressed) * 0.67
 
 
-def broken() -> dict[str, bytes]:
+def malformed_messages() -> dict[str, bytes]:
+    """Return bytes that are not a message, by their description."""
     message = msgspec.msgpack.encode(Done())
-    packed = zlib.compress(message)
+    compressed = zlib.compress(message)
     return {
         'no bytes': b'',
         'bytes of an unknown first letter': joined(b'x', message),
-        'compressed bytes that are cut off': joined(b'z', packed[:-3]),
+        'compressed bytes that are cut off': joined(b'z', compressed[:-3]),
         'compressed bytes that are no message': joined(
             b'z', zlib.compress(b'x')
         ),
         'bytes that are not compressed at all': joined(b'z', message),
-        'megabytes that are compressed well': joined(b'z', zipped_zeros()),
+        'megabytes that are compressed well': joined(b'z', compressed_zeros()),
     }
 
 
@@ -71,22 +73,23 @@
     return b''.join(parts)
 
 
-def zipped_zeros() -> bytes:
-    packer = zlib.compressobj()
+def compressed_zeros() -> bytes:
+    """Return 100 MiB of zeros, compressed; no message may be so large."""
+    compressor = zlib.compressobj()
     megabyte = bytes(2**20)
-    zeros = [packer.compress(megabyte) for _ in range(100)]
-    return joined(*zeros, packer.flush())
+    zeros = [compressor.compress(megabyte) for _ in range(100)]
+    return joined(*zeros, compressor.flush())
 
 
-@then('{what} are no request and no reply')
-def refused(_: Any, what: str) -> None:
-    check_refused(what)
+@then('{what} are rejected as a request and as a reply')
+def rejected(_: Any, what: str) -> None:
+    check_rejected(what)
 
 
-def check_refused(what: str) -> None:
+def check_rejected(what: str) -> None:
     for decode in (codec.decode_request, codec.decode_reply):
         try:
-            found = decode(broken()[what])
+            decoded = decode(malformed_messages()[what])
         except msgspec.MsgspecError:
             continue
-        raise AssertionError(found)
+        raise AssertionError(decoded)
--- a/features/steps/peers_directory_steps.py
+++ b/features/steps/peers_directory_steps.py
@@ -13,14 +13,14 @@
 from features.job_scenes import JOB, owner_of
 from lab.site import Site, at, play
 
-#: Nothing is waited for longer than this.
-LATE = dt.timedelta(seconds=5)
+#: Longest wait for a step to begin.
+MAX_WAIT = dt.timedelta(seconds=5)
 ZONES = ('a', 'b', 'c')
 MODELS = [ModelId(f'm{number}') for number in range(50)]
 
 
 @given('6 entries in 3 zones')
-def six(context: Any) -> None:
+def six_entries(context: Any) -> None:
     context.entries = {
         NodeId(f'entry-{zone}-{number}'): EntryRecord(at(9000), ZoneId(zone))
         for zone in ZONES
@@ -28,27 +28,27 @@
     }
 
 
-@then("every model's steps are run by an entry of the zone that takes them")
-def own_zone(context: Any) -> None:
+@then("every model's steps are run by an entry of the zone of their trainer")
+def check_owner_zone(context: Any) -> None:
     for model in MODELS:
         for zone in ZONES:
-            home = home_order(model, context.entries, ZoneId(zone))[0]
-            assert context.entries[home].zone == zone, (model, zone, home)
+            owner = home_order(model, context.entries, ZoneId(zone))[0]
+            assert context.entries[owner].zone == zone, (model, zone, owner)
 
 
-@then('each of them is the same entry for all entries of the zone')
-def same(context: Any) -> None:
+@then('all entries of the zone choose the same entry for a model')
+def check_same_owner(context: Any) -> None:
     shuffled = dict(sorted(context.entries.items(), reverse=True))
-    homes = set()
+    owners = set()
     for model in MODELS:
-        home = home_order(model, context.entries, ZoneId('b'))[0]
-        assert home == home_order(model, shuffled, ZoneId('b'))[0]
-        homes.add(home)
-    assert len(homes) == 2, homes
+        owner = home_order(model, context.entries, ZoneId('b'))[0]
+        assert owner == home_order(model, shuffled, ZoneId('b'))[0]
+        owners.add(owner)
+    assert len(owners) == 2, owners
 
 
 @then('the steps of a zone without entries are run by the same entry always')
-def elsewhere(context: Any) -> None:
+def check_owner_elsewhere(context: Any) -> None:
     for model in MODELS:
         first = home_order(model, context.entries, ZoneId('d'))
         second = home_order(model, context.entries, ZoneId('e'))
@@ -74,21 +74,22 @@
 
 
 @when('the engine has loaded version 2')
-def loaded(context: Any) -> None:
+def load_version(context: Any) -> None:
     async def scene(site: Site) -> None:
         await context.prepare(site)
         engine = site.engines['engine-0']
         site.store.put('versions', 'm', {'model': 'm', 'version': 2})
         while engine.version < 2:
             await asyncio.sleep(0.01)
-        # The agent looks at its engine a few times a second.
+        # The agent queries its engine a few times a second.
         await asyncio.sleep(0.2)
         reply = await site.submit('entry-0', 'j2', [[2, 2]], 2)
         assert reply is not None
         before = len(engine.seen)
         began = site.clock.elapsed()
         while (
-            len(engine.seen) == before and site.clock.elapsed() < began + LATE
+            len(engine.seen) == before
+            and site.clock.elapsed() < began + MAX_WAIT
         ):
             await asyncio.sleep(0.01)
         context.took_s = (site.clock.elapsed() - began).total_seconds()
@@ -96,14 +97,14 @@
     play(scene)
 
 
-@then('a step that takes no older one begins within {most_s:g} s')
-def begins(context: Any, most_s: float) -> None:
-    assert context.took_s <= most_s, context.took_s
+@then('a step that requires this version begins within {limit_s:g} s')
+def check_step_begins(context: Any, limit_s: float) -> None:
+    assert context.took_s <= limit_s, context.took_s
 
 
 @given('6 entries in 3 zones, one of each zone with a link of 100 Mbit/s')
 def fast_links(context: Any) -> None:
-    six(context)
+    six_entries(context)
     context.entries = {
         name: EntryRecord(entry.address, entry.zone, 100 if '1' in name else 30)
         for name, entry in context.entries.items()
@@ -111,8 +112,8 @@
 
 
 @then("every model's steps are run by the fast entry of the zone")
-def fast_home(context: Any) -> None:
+def check_fast_owner(context: Any) -> None:
     for model in MODELS:
         for zone in ZONES:
-            home = home_order(model, context.entries, ZoneId(zone))[0]
-            assert home == f'entry-{zone}-1', (model, zone, home)
+            owner = home_order(model, context.entries, ZoneId(zone))[0]
+            assert owner == f'entry-{zone}-1', (model, zone, owner)
--- a/features/steps/peers_relay_steps.py
+++ b/features/steps/peers_relay_steps.py
@@ -21,69 +21,75 @@
     from bergamotdoor.peers.messages import StoreCall
     from bergamotdoor.settings.document import Address
 
-PAUSE_S = 0.1
+CALL_INTERVAL_S = 0.1
 REFUSED = Answer(503, b'')
 DONE = Answer(200, b'')
 
 
-class Ways:
-    """The own way, which is refused at first, and those of other entries."""
+class StorePaths:
+    """The direct path to the store, refused at first, and the relayed ones."""
 
     def __init__(self) -> None:
-        self.open = False
-        #: How many of the next calls through others give no answer.
-        self.silent = 0
+        #: Whether the store accepts relayed calls.
+        self.accepts_relayed = False
+        #: How many of the next relayed calls get no answer.
+        self.unanswered = 0
+        #: Number of relayed calls so far.
         self.relayed = 0
-        self.own = REFUSED
-        self.own_s = float()
-        self.others_s = float()
+        #: Answer to direct calls.
+        self.direct_answer = REFUSED
+        #: How long direct and relayed calls take.
+        self.direct_s = float()
+        self.relayed_s = float()
 
     async def call(self, *_: Any) -> Answer | Outcome:
-        await asyncio.sleep(self.own_s)
-        return self.own
+        await asyncio.sleep(self.direct_s)
+        return self.direct_answer
 
     async def watch(self, *_: Any) -> Answer | Outcome:
         return REFUSED
 
 
-class OtherEntries:
-    def __init__(self, ways: Ways) -> None:
-        self._ways = ways
+class FakeRelay:
+    """A relay over other entries, without the entries."""
+
+    def __init__(self, paths: StorePaths) -> None:
+        self._paths = paths
 
     async def call(
         self, address: Address, call: StoreCall, timeout: dt.timedelta
     ) -> Answer | Outcome:
-        self._ways.relayed += 1
-        await asyncio.sleep(self._ways.others_s)
-        if self._ways.silent:
-            self._ways.silent -= 1
+        self._paths.relayed += 1
+        await asyncio.sleep(self._paths.relayed_s)
+        if self._paths.unanswered:
+            self._paths.unanswered -= 1
             return Outcome.UNCLEAR
-        return DONE if self._ways.open else REFUSED
+        return DONE if self._paths.accepts_relayed else REFUSED
 
 
-@given('a store that refuses every way')
-def refuses(context: Any) -> None:
-    context.ways = Ways()
-    context.scene = []
-    context.caller = caller_of(context.ways)
+@given('a store that refuses calls on all paths')
+def refuse_all(context: Any) -> None:
+    context.paths = StorePaths()
+    context.actions = []
+    context.caller = caller_of(context.paths)
 
 
-@given('a store that answers after {answer_ms:d} ms by the own way')
-def answers_late(context: Any, answer_ms: int) -> None:
-    refuses(context)
-    context.ways.own = DONE
-    context.ways.own_s = answer_ms / 1000
+@given('a store that answers direct calls after {answer_ms:d} ms')
+def answer_late(context: Any, answer_ms: int) -> None:
+    refuse_all(context)
+    context.paths.direct_answer = DONE
+    context.paths.direct_s = answer_ms / 1000
 
 
 @given('other entries that take {seconds:d} s')
-def slow_others(context: Any, seconds: int) -> None:
-    context.ways.others_s = seconds
-    context.ways.open = True
+def slow_relays(context: Any, seconds: int) -> None:
+    context.paths.relayed_s = seconds
+    context.paths.accepts_relayed = True
 
 
-def caller_of(ways: Ways) -> RelayingCaller:
+def caller_of(paths: StorePaths) -> RelayingCaller:
     caller = RelayingCaller(
-        ways, OtherEntries(ways), virtual_clock(), random.Random(1)
+        paths, FakeRelay(paths), virtual_clock(), random.Random(1)
     )
     directory = Directory.__new__(Directory)
     directory.entries = {
@@ -94,79 +100,79 @@
     return caller
 
 
-@given('a store that takes calls through other entries only')
-def others_only(context: Any) -> None:
-    refuses(context)
-    context.ways.open = True
+@given('a store that accepts calls through other entries only')
+def refuse_direct(context: Any) -> None:
+    refuse_all(context)
+    context.paths.accepts_relayed = True
 
 
-@when('one of them gives no answer to a call, and the other ways refuse it')
-def no_answer(context: Any) -> None:
+@when('one of them does not answer a call, and the other paths refuse it')
+def leave_unanswered(context: Any) -> None:
     async def scene() -> Answer | Outcome:
-        assert await one_call(context.caller) == DONE
-        context.ways.open = False
-        context.ways.silent = 1
-        return await one_call(context.caller)
+        assert await make_call(context.caller) == DONE
+        context.paths.accepts_relayed = False
+        context.paths.unanswered = 1
+        return await make_call(context.caller)
 
     context.found = run_virtual(scene())
 
 
-@then('it is not known whether that call was done')
-def not_known(context: Any) -> None:
+@then('it is not known whether that call took effect')
+def check_unclear(context: Any) -> None:
     assert context.found is Outcome.UNCLEAR, context.found
 
 
-async def one_call(caller: RelayingCaller) -> Answer | Outcome:
+async def make_call(caller: RelayingCaller) -> Answer | Outcome:
     return await caller.call('GET', '/x', b'', dt.timedelta(seconds=1))
 
 
-async def calls(context: Any, seconds: float) -> None:
-    for _ in range(round(seconds / PAUSE_S)):
-        await one_call(context.caller)
-        await asyncio.sleep(PAUSE_S)
+async def make_calls(context: Any, seconds: float) -> None:
+    for _ in range(round(seconds / CALL_INTERVAL_S)):
+        await make_call(context.caller)
+        await asyncio.sleep(CALL_INTERVAL_S)
 
 
 @when('an entry makes a call each 100 ms for {seconds:d} s')
 def call_often(context: Any, seconds: int) -> None:
-    context.scene.append(lambda: calls(context, seconds))
+    context.actions.append(lambda: make_calls(context, seconds))
 
 
-@when('the store takes calls of the other entries again')
-def opens(context: Any) -> None:
-    async def reopen() -> None:
-        context.ways.open = True
+@when('the store accepts calls of the other entries again')
+def accept_relayed(context: Any) -> None:
+    async def accept() -> None:
+        context.paths.accepts_relayed = True
 
-    context.scene.append(reopen)
+    context.actions.append(accept)
 
 
-async def play(context: Any) -> None:
-    for step in context.scene:
-        await step()
+async def run_actions(context: Any) -> None:
+    for action in context.actions:
+        await action()
 
 
-@then('other entries were asked at most {most:d} times')
-def asked_at_most(context: Any, most: int) -> None:
-    run_virtual(play(context))
-    assert 0 < context.ways.relayed <= most, context.ways.relayed
+@then('at most {most:d} calls are relayed')
+def check_relayed(context: Any, most: int) -> None:
+    run_virtual(run_actions(context))
+    assert 0 < context.paths.relayed <= most, context.paths.relayed
 
 
 @then('a call is answered within {limit_ms:d} ms')
-def answered_within(context: Any, limit_ms: int) -> None:
+def check_answer_time(context: Any, limit_ms: int) -> None:
     async def measure() -> float:
-        await play(context)
+        await run_actions(context)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        while await one_call(context.caller) != DONE:
-            await asyncio.sleep(PAUSE_S)
+        while await make_call(context.caller) != DONE:
+            await asyncio.sleep(CALL_INTERVAL_S)
         return (loop.time() - began) * 1000
 
     took_ms = run_virtual(measure())
     assert took_ms <= limit_ms, took_ms
 
 
-@then('its next call goes the own way first')
-def own_way_first(context: Any) -> None:
-    before = context.ways.relayed
-    context.ways.own_s = 0.1
-    assert run_virtual(one_call(context.caller)) == DONE
-    assert context.ways.relayed == before
+@then('the next call is sent directly first')
+def check_direct_first(context: Any) -> None:
+    before = context.paths.relayed
+    context.paths.direct_s = 0.1
+    assert run_virtual(make_call(context.caller)) == DONE
+    assert context.paths.relayed == before
--- a/features/steps/peers_strikes_steps.py
+++ b/features/steps/peers_strikes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for how entries learn what ended under a request elsewhere."""
+"""Steps for entries that learn of strikes from other entries."""
 
 from __future__ import annotations
 
@@ -18,53 +18,56 @@
 
 
 @when('it comes, all entries start again, and it comes {pause_s:d} s later')
-def entries_restart(context: Any, pause_s: int) -> None:
+def restart_entries(context: Any, pause_s: int) -> None:
     async def act(site: Site) -> None:
         await arrive(site, 'entry-0', 'call-0')
         await asyncio.sleep(0.3)
-        context.before = ended(site)
+        context.ended_before = ended(site)
         names = list(site.entries)
         for name in names:
             await site.kill(name)
         for name in names:
             await site.add_entry(name)
         await asyncio.sleep(pause_s)
-        context.answers = await answered_by_all(site, names)
-        context.ends = ended(site)
+        context.answers = await answers_of_all(site, names)
+        context.ended_after = ended(site)
 
     context.plan.act = act
     play(context.plan)
 
 
-async def answered_by_all(site: Site, names: list[str]) -> list[Answer]:
+async def answers_of_all(site: Site, names: list[str]) -> list[Answer]:
     return [await answered(site, name, f'again-{name}') for name in names]
 
 
 @then('it reaches no upstream after the restart')
-def none_after(context: Any) -> None:
-    assert context.before == 2, context.before
-    assert context.ends == context.before, context.ends
-    assert {one.status for one in context.answers} == {503}, context.answers
+def check_none_after_restart(context: Any) -> None:
+    assert context.ended_before == 2, context.ended_before
+    assert context.ended_after == context.ended_before, context.ended_after
+    assert {answer.status for answer in context.answers} == {503}, (
+        context.answers
+    )
 
 
 @when(
     'it comes while one entry is cut off for {cut_s:d} s, and {later_s:d} s '
     'later there'
 )
-def one_cut_off(context: Any, cut_s: int, later_s: int) -> None:
+def cut_one_off(context: Any, cut_s: int, later_s: int) -> None:
     async def act(site: Site) -> None:
-        cut = site.entries['entry-2']
-        handle = cut._parts.peer_service.handle
+        cut_off = site.entries['entry-2']
+        handle = cut_off._parts.peer_service.handle
 
-        async def silent(_: Any) -> Any:
+        async def no_reply(_: Any) -> Any:
             await asyncio.Event().wait()
 
-        setattr(cut._parts.peer_service, 'handle', silent)  # noqa: B010
+        setattr(cut_off._parts.peer_service, 'handle', no_reply)  # noqa: B010
         await asyncio.sleep(0.1)
         await arrive(site, 'entry-0', 'call-0')
         await asyncio.sleep(cut_s)
-        setattr(cut._parts.peer_service, 'handle', handle)  # noqa: B010
-        # Upstreams have rested by then: one more ends under it elsewhere.
+        setattr(cut_off._parts.peer_service, 'handle', handle)  # noqa: B010
+        # The pause after the first two ends is over by then, so the request
+        # reaches one more upstream through another entry and ends it.
         await arrive(site, 'entry-1', 'call-1')
         await asyncio.sleep(later_s)
         context.second = await answered(site, 'entry-2', 'call-2')
@@ -74,23 +77,23 @@
 
 
 @then('the entry that was cut off refuses it at once')
-def cut_off_refuses(context: Any) -> None:
+def check_refused(context: Any) -> None:
     assert context.second.status == 503, context.second
     assert not round(context.second.took_s, 1), context.second
 
 
 @when('an upstream ends under it with {count:d} other calls in progress')
-def ends_with_others(context: Any, count: int) -> None:
+def end_with_others(context: Any, count: int) -> None:
     async def act(site: Site) -> None:
         messages: list[Any] = []
         other = site.entries['entry-1']
         take = other._context.strikes.take
 
-        def counted(message: Any) -> None:
+        def record_message(message: Any) -> None:
             messages.append(message)
             take(message)
 
-        setattr(other._context.strikes, 'take', counted)  # noqa: B010
+        setattr(other._context.strikes, 'take', record_message)  # noqa: B010
         first, *others = site.services.values()
         for service in others:
             site.store.remove('servers', service.name)
@@ -98,8 +101,8 @@
         await asyncio.sleep(2.5)
         ending = asyncio.create_task(arrive(site, 'entry-0', 'call-0'))
         await asyncio.sleep(0.02)
-        beside = [ask_beside(site, 0, one) for one in range(count)]
-        await asyncio.gather(ending, *beside)
+        other_calls = [ask_beside(site, 0, number) for number in range(count)]
+        await asyncio.gather(ending, *other_calls)
         await asyncio.sleep(0.5)
         context.messages = messages
 
@@ -108,6 +111,6 @@
 
 
 @then('the other entry knows of {strikes:d} strikes from {count:d} message')
-def told_once(context: Any, strikes: int, count: int) -> None:
+def check_one_message(context: Any, strikes: int, count: int) -> None:
     assert len(context.messages) == count, context.messages
     assert len(context.messages[0].strikes) == strikes, context.messages
