--- a/features/reporting_outages.feature
+++ b/features/reporting_outages.feature
@@ -1,13 +1,13 @@
-Feature: Usage is reported though store or receiver are away
+Feature: usage is reported despite outages of the store or the receiver
 
   Guards against a second report of a window with other counts, and against
-  windows that are never reported, where a call's answer is lost or late.
+  windows that are never reported, if the answer to a call is lost or late.
 
-  Scenario Outline: the receiver <mode> for 6 s
+  Scenario Outline: the receiver is <mode> for 6 s
     Given a site of 4 entries that reports usage
     When accounts send 10 calls a second for 30 s, beside a receiver that is <mode>
-    Then no promise of one holder was broken
-    And each window was reported within 10 s, but for 0
+    Then no guarantee of a single holder was broken
+    And all but 0 windows were reported within 10 s
 
     Examples:
       | mode    |
@@ -19,8 +19,8 @@
   Scenario Outline: the store <fault> for 6 s
     Given a site of 4 entries that reports usage
     When accounts send 10 calls a second for 30 s, beside a store that <fault>
-    Then no promise of one holder was broken
-    And each window was reported within 10 s, but for <missed>
+    Then no guarantee of a single holder was broken
+    And all but <missed> windows were reported within 10 s
 
     Examples:
       | fault         | missed |
@@ -29,11 +29,12 @@
       | loses answers | 0      |
       | writes late   | 0      |
 
-  Scenario: a takeover whose answer is lost repeats what was decided
-    Guards against reports that a holder decided and could not send, which its
-    successor drops since its own write was done without an answer.
+  Scenario: a successor sends decided reports if its write gets no answer
+    A holder has decided reports that it could not send. The write with which
+    its successor takes the duty over takes effect, but its answer is lost.
+    Guards against a successor that drops those reports.
 
     Given a site of 4 entries that reports usage
     When a holder that could send nothing is killed, and the next write gets no answer
-    Then no promise of one holder was broken
+    Then no guarantee of a single holder was broken
     And every window that was decided is reported
--- a/features/reporting_usage.feature
+++ b/features/reporting_usage.feature
@@ -1,20 +1,21 @@
-Feature: Usage is reported once, by one process at a time
+Feature: usage is reported once, by one process at a time
 
-  Guards against two reports of one window that differ, holders that take
-  turns or use one token, and requests that no report counts.
+  Guards against two different reports of one window, against processes that
+  alternate as holders or use the same fencing token, and against requests
+  that no report counts.
 
-  Scenario: each request is in the report of its window
+  Scenario: each request is counted in the report of its window
     Given a site of 4 entries that reports usage
     When accounts send 10 calls a second for 20 s
     Then each window was reported within 10 s, as the upstreams ran it
-    And the store was written 8 times at the most for it
+    And the duty's record was written at most 8 times
 
-  Scenario Outline: an entry <fault> while requests come
+  Scenario Outline: an entry <fault> while requests arrive
     Given a site of 4 entries that reports usage
     When accounts send 10 calls a second for 30 s, while the <who> <fault>
-    Then no promise of one holder was broken
-    And each window was reported within 10 s, but for <missed>
-    And all reports together miss <lost> requests at the most
+    Then no guarantee of a single holder was broken
+    And all but <missed> windows were reported within 10 s
+    And all reports together miss at most <lost> requests
 
     Examples:
       | who       | fault                        | missed | lost |
@@ -25,11 +26,11 @@
       | holder    | is suspended for 9 s         | 0      | 0    |
       | holder    | is cut off from the others   | 1      | 40   |
 
-  Scenario: a clock that jumps moves no request to another window
+  Scenario: a jump of the wall clock moves no request to another window
     Given a wall clock that jumps by 2 s, and back after 10 s
-    Then true time goes on evenly
+    Then the corrected time advances evenly
 
-  Scenario: no order of events lets two holders act as one
+  Scenario: in no order of events two processes act as the holder
     Given 150 histories of pauses, kills and late writes of three processes
-    Then no history broke a promise of one holder
+    Then no history broke a guarantee of a single holder
     And the histories have takeovers and reports
--- a/features/steps/reporting_usage_steps.py
+++ b/features/steps/reporting_usage_steps.py
@@ -1,4 +1,4 @@
-"""Steps for usage reports, on a whole site in virtual time."""
+"""Steps for usage reports of a whole site in virtual time."""
 
 from __future__ import annotations
 
@@ -25,27 +25,28 @@
     Fault = Callable[[Site], Coroutine[Any, Any, None]]
 
 WINDOW_S, DUE_S, LEASE_S = 5, 10, 3
-CALL_S = 0.1
+CALL_INTERVAL_S = 0.1
 ACCOUNTS = ('ant', 'bee', 'cat')
-FAULT_S = 6
-#: Of a call of the store.
+FAULT_DURATION_S = 6
+#: Part of the path of each store call for a duty.
 DUTY_CALL = '/-/objects/duties'
 
 
-class Seen(NamedTuple):
-    """What a run has shown."""
+class RunResult(NamedTuple):
+    """Results of a run."""
 
-    #: By window: what upstreams ran, by account.
+    #: Number of requests that upstreams ran, by window and account.
     ran: dict[int, dict[str, int]]
     receiver: Any
+    #: Number of calls to the store that were writes of the duty's record.
     duty_calls: int
-    #: When traffic began and ended.
+    #: When the callers began and ended, in the event loop's time.
     began_s: float
     ended_s: float
 
 
 class UsagePlan:
-    """Runs callers on a site that reports usage, and a fault beside."""
+    """Runs callers on a site that reports usage, optionally with a fault."""
 
     def __init__(self, entries: int) -> None:
         self.entries = entries
@@ -53,10 +54,10 @@
 
     def run(
         self,
-        lasts_s: float,
+        duration_s: float,
         fault: Fault | None = None,
-    ) -> Seen:
-        async def scene(site: Site) -> Seen:
+    ) -> RunResult:
+        async def scene(site: Site) -> RunResult:
             receiver = await add_receiver(site)
             await site.start(entries=self.entries)
             site.put_manifest(
@@ -69,32 +70,35 @@
             site.store.calls.clear()
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            work = [callers(site, lasts_s)]
+            work = [run_callers(site, duration_s)]
             if fault is not None:
                 work.append(fault(site))
             await asyncio.gather(*work)
             ended_s = loop.time()
             await asyncio.sleep(DUE_S + WINDOW_S)
-            calls = sum(
+            duty_writes = sum(
                 DUTY_CALL in call and not call.startswith('GET')
                 for call in site.store.calls
             )
-            return Seen(ran(site), receiver, calls, began_s, ended_s)
+            return RunResult(
+                requests_run(site), receiver, duty_writes, began_s, ended_s
+            )
 
-        seen: Seen = play(scene)
-        return seen
+        result: RunResult = play(scene)
+        return result
 
 
-async def callers(site: Site, lasts_s: float) -> None:
+async def run_callers(site: Site, duration_s: float) -> None:
+    """Send calls of all accounts through random entries for a time."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + lasts_s
+    until = loop.time() + duration_s
     rng = random.Random(7)
     number = 0
-    asking = []
+    calls = []
     while loop.time() < until:
         number += 1
         entry = rng.choice(sorted(site.entries))
-        sent = Call(
+        call = Call(
             'POST',
             '/book/1',
             b'x',
@@ -103,33 +107,41 @@
                 ('Authorization', f'Bearer {rng.choice(ACCOUNTS)}-key'),
             ),
         )
-        asking.append(
-            asyncio.create_task(site.client.send(at(site.ports[entry]), sent))
+        calls.append(
+            asyncio.create_task(site.client.send(at(site.ports[entry]), call))
         )
-        await asyncio.sleep(CALL_S)
-    await asyncio.gather(*asking)
+        await asyncio.sleep(CALL_INTERVAL_S)
+    await asyncio.gather(*calls)
 
 
-def ran(site: Site) -> dict[int, dict[str, int]]:
+def requests_run(site: Site) -> dict[int, dict[str, int]]:
+    """Return how many requests services ran, by window and account."""
     found: dict[int, Counter[str]] = {}
-    seen = [one for desk in site.services.values() for one in desk.seen]
-    for one in seen:
-        window = int(one.at_s // WINDOW_S)
-        account = one.headers['x-bergamotdoor-tenant']
+    requests = [
+        request
+        for service in site.services.values()
+        for request in service.seen
+    ]
+    for request in requests:
+        window = int(request.at_s // WINDOW_S)
+        account = request.headers['x-bergamotdoor-tenant']
         found.setdefault(window, Counter())[account] += 1
     return {window: dict(counts) for window, counts in found.items()}
 
 
-def duty(site: Site) -> dict[str, Any]:
-    found: dict[str, Any] = site.store.table.specs('duties')['usage']
-    return found
+def duty_record(site: Site) -> dict[str, Any]:
+    """Return the stored record of the reporting duty."""
+    record: dict[str, Any] = site.store.table.specs('duties')['usage']
+    return record
 
 
 def holder(site: Site) -> str:
-    return str(duty(site)['holder'])
+    """Return the name of the entry that has the duty."""
+    return str(duty_record(site)['holder'])
 
 
-def other(site: Site) -> str:
+def other_entry(site: Site) -> str:
+    """Return the name of an entry that does not have the duty."""
     return next(name for name in sorted(site.entries) if name != holder(site))
 
 
@@ -138,48 +150,58 @@
     context.plan = UsagePlan(entries)
 
 
-@when('accounts send 10 calls a second for {lasts_s:d} s')
-def send_calls(context: Any, lasts_s: int) -> None:
-    context.seen = context.plan.run(lasts_s)
+@when('accounts send 10 calls a second for {duration_s:d} s')
+def send_calls(context: Any, duration_s: int) -> None:
+    context.result = context.plan.run(duration_s)
 
 
-def late_windows(seen: Seen) -> list[int]:
+def late_windows(result: RunResult) -> list[int]:
     """Return the windows that were not reported in time."""
     in_time = {
-        one.window
-        for one in seen.receiver.taken
-        if one.at_s <= (one.window + 1) * WINDOW_S + DUE_S
+        report.window
+        for report in result.receiver.taken
+        if report.at_s <= (report.window + 1) * WINDOW_S + DUE_S
     }
-    first = int(seen.began_s // WINDOW_S)
-    last = int(seen.ended_s // WINDOW_S)
-    return [one for one in range(first, last) if one not in in_time]
+    first = int(result.began_s // WINDOW_S)
+    last = int(result.ended_s // WINDOW_S)
+    return [window for window in range(first, last) if window not in in_time]
 
 
 @then('each window was reported within 10 s, as the upstreams ran it')
-def reported_exactly(context: Any) -> None:
-    seen = context.seen
-    assert not late_windows(seen), late_windows(seen)
-    reports = seen.receiver.reports()
+def check_reports(context: Any) -> None:
+    result = context.result
+    assert not late_windows(result), late_windows(result)
+    reports = result.receiver.reports()
     wrong = {
         window: (counts, reports.get(window))
-        for window, counts in seen.ran.items()
+        for window, counts in result.ran.items()
         if reports.get(window) != counts
     }
     assert not wrong, wrong
-    assert not seen.receiver.broken(LEASE_S), seen.receiver.broken(LEASE_S)
+    assert not result.receiver.broken(LEASE_S), result.receiver.broken(LEASE_S)
+
+
+@then("the duty's record was written at most {most:d} times")
+def check_writes(context: Any, most: int) -> None:
+    assert 0 < context.result.duty_calls <= most, context.result.duty_calls
 
 
-@then('the store was written {most:d} times at the most for it')
-def writes(context: Any, most: int) -> None:
-    assert 0 < context.seen.duty_calls <= most, context.seen.duty_calls
+def entry_fault(who: str, fault: str) -> Fault:
+    """Return a fault of the holder, or of another entry.
 
+    Parameters
+    ----------
+    who
+        ``holder`` or ``other``.
+    fault
+        Key of ``FAULTS``.
+    """
 
-def fault_of(who: str, what: str) -> Fault:
     async def act(site: Site) -> None:
-        # Not in step with the windows.
+        # Not a multiple of the length of a window.
         await asyncio.sleep(8.7)
-        name = holder(site) if who == 'holder' else other(site)
-        await FAULTS[what](site, name)
+        name = holder(site) if who == 'holder' else other_entry(site)
+        await FAULTS[fault](site, name)
 
     return act
 
@@ -199,7 +221,7 @@
 
 
 async def suspend(site: Site, name: str) -> None:
-    """Have one process stand still, as far as others see."""
+    """Suspend the reporting tasks of one entry for 9 s."""
     usage = site.entries[name]._parts.usage
     assert usage is not None
     clock = SuspendableClock(site.clock)
@@ -208,8 +230,8 @@
     await clock.suspend(dt.timedelta(seconds=9))
 
 
-async def cut(site: Site, name: str) -> None:
-    """Cut a process off from the other entries, not from the store."""
+async def cut_off(site: Site, name: str) -> None:
+    """Cut an entry off from the other entries, but not from the store."""
     for entry_name, entry in site.entries.items():
         directory = entry._access.directory
         if entry_name == name:
@@ -224,153 +246,155 @@
     'is killed and starts again': restart,
     'stops as planned': stop,
     'is suspended for 9 s': suspend,
-    'is cut off from the others': cut,
+    'is cut off from the others': cut_off,
 }
 
 
-@when('accounts send 10 calls a second for 30 s, while the {who:w} {what}')
-def with_fault(context: Any, who: str, what: str) -> None:
-    context.seen = context.plan.run(30, fault_of(who, what))
+@when('accounts send 10 calls a second for 30 s, while the {who:w} {fault}')
+def run_with_fault(context: Any, who: str, fault: str) -> None:
+    context.result = context.plan.run(30, entry_fault(who, fault))
 
 
 @when(
     'accounts send 10 calls a second for 30 s, beside a receiver that is'
     ' {mode:w}'
 )
-def with_receiver(context: Any, mode: str) -> None:
+def run_with_receiver(context: Any, mode: str) -> None:
     async def act(site: Site) -> None:
         await asyncio.sleep(8.7)
         assert site.receiver is not None
         site.receiver.mode = ReceiverMode(mode)
-        await asyncio.sleep(FAULT_S)
+        await asyncio.sleep(FAULT_DURATION_S)
         site.receiver.mode = ReceiverMode.UP
 
-    context.seen = context.plan.run(30, act)
+    context.result = context.plan.run(30, act)
 
 
 @when(
     'a holder that could send nothing is killed, and the next write gets no'
     ' answer'
 )
-def killed_with_reports(context: Any) -> None:
+def kill_with_reports(context: Any) -> None:
     async def act(site: Site) -> None:
         assert site.receiver is not None
         site.receiver.mode = ReceiverMode.BUSY
-        while not duty(site)['reports']:
+        while not duty_record(site)['reports']:
             await asyncio.sleep(0.1)
-        context.decided = [one['window'] for one in duty(site)['reports']]
+        context.decided = [
+            report['window'] for report in duty_record(site)['reports']
+        ]
         await site.kill(holder(site))
         site.receiver.mode = ReceiverMode.UP
         site.store.lose_answers = 1
 
-    context.seen = context.plan.run(30, act)
+    context.result = context.plan.run(30, act)
 
 
 @then('every window that was decided is reported')
-def all_reported(context: Any) -> None:
-    missing = set(context.decided) - set(context.seen.receiver.reports())
+def check_decided_reported(context: Any) -> None:
+    missing = set(context.decided) - set(context.result.receiver.reports())
     assert context.decided
     assert not missing, missing
 
 
-async def store_busy(site: Site) -> None:
+async def make_store_busy(site: Site) -> None:
     site.store.mode = StoreMode.BUSY
 
 
-async def store_silent(site: Site) -> None:
+async def make_store_silent(site: Site) -> None:
     site.store.mode = StoreMode.SILENT
 
 
-async def store_loses(site: Site) -> None:
+async def lose_store_answers(site: Site) -> None:
     site.store.lose_answers = 3
 
 
-async def store_late(site: Site) -> None:
+async def delay_store_writes(site: Site) -> None:
     site.store.delay_writes = 3
 
 
 STORE_FAULTS = {
-    'is busy': store_busy,
-    'is silent': store_silent,
-    'loses answers': store_loses,
-    'writes late': store_late,
+    'is busy': make_store_busy,
+    'is silent': make_store_silent,
+    'loses answers': lose_store_answers,
+    'writes late': delay_store_writes,
 }
 
 
-@when('accounts send 10 calls a second for 30 s, beside a store that {what}')
-def with_store(context: Any, what: str) -> None:
+@when('accounts send 10 calls a second for 30 s, beside a store that {fault}')
+def run_with_store(context: Any, fault: str) -> None:
     async def act(site: Site) -> None:
         await asyncio.sleep(8.7)
-        await STORE_FAULTS[what](site)
-        await asyncio.sleep(FAULT_S)
+        await STORE_FAULTS[fault](site)
+        await asyncio.sleep(FAULT_DURATION_S)
         site.store.mode = StoreMode.UP
 
-    context.seen = context.plan.run(30, act)
+    context.result = context.plan.run(30, act)
 
 
-@then('no promise of one holder was broken')
-def one_holder(context: Any) -> None:
-    broken = context.seen.receiver.broken(LEASE_S)
+@then('no guarantee of a single holder was broken')
+def check_single_holder(context: Any) -> None:
+    broken = context.result.receiver.broken(LEASE_S)
     assert not broken, broken
 
 
-@then('each window was reported within 10 s, but for {missed:d}')
-def but_for(context: Any, missed: int) -> None:
-    late = late_windows(context.seen)
+@then('all but {missed:d} windows were reported within 10 s')
+def check_late_windows(context: Any, missed: int) -> None:
+    late = late_windows(context.result)
     assert len(late) <= missed, late
 
 
-@then('all reports together miss {lost:d} requests at the most')
-def lost_requests(context: Any, lost: int) -> None:
-    seen = context.seen
-    first = int(seen.began_s // WINDOW_S)
-    ran_in_all = sum(
+@then('all reports together miss at most {lost:d} requests')
+def check_lost_requests(context: Any, lost: int) -> None:
+    result = context.result
+    first = int(result.began_s // WINDOW_S)
+    total_ran = sum(
         sum(counts.values())
-        for window, counts in seen.ran.items()
+        for window, counts in result.ran.items()
         if window >= first
     )
     reported = sum(
         sum(counts.values())
-        for window, counts in seen.receiver.reports().items()
+        for window, counts in result.receiver.reports().items()
         if window >= first
     )
-    assert abs(ran_in_all - reported) <= lost, (ran_in_all, reported)
+    assert abs(total_ran - reported) <= lost, (total_ran, reported)
 
 
 @given('a wall clock that jumps by 2 s, and back after 10 s')
-def jumping(context: Any) -> None:
+def add_jumps(context: Any) -> None:
     context.jumps = [
         (second, second + 2 * (20 <= second < 30) + second * 1e-5)
         for second in range(60)
     ]
 
 
-@then('true time goes on evenly')
-def evenly(context: Any) -> None:
-    time = TrueTime()
+@then('the corrected time advances evenly')
+def check_corrected_time(context: Any) -> None:
+    true_time = TrueTime()
     start = dt.datetime(2026, 1, 1, tzinfo=dt.UTC)
-    told = [
-        time.read(
+    readings = [
+        true_time.read(
             start + dt.timedelta(seconds=wall), dt.timedelta(seconds=uptime)
         )
         for uptime, wall in context.jumps
     ]
-    off = [
-        abs((one - start).total_seconds() - second)
-        for second, one in enumerate(told)
+    errors_s = [
+        abs((reading - start).total_seconds() - second)
+        for second, reading in enumerate(readings)
     ]
-    assert max(off) * 100 < 1, off
+    assert max(errors_s) * 100 < 1, errors_s
 
 
 @given(
     '{count:d} histories of pauses, kills and late writes of three processes'
 )
-def histories(context: Any, count: int) -> None:
+def play_histories(context: Any, count: int) -> None:
     context.histories = [play_duty(seed) for seed in range(count)]
 
 
-@then('no history broke a promise of one holder')
-def none_broke(context: Any) -> None:
+@then('no history broke a guarantee of a single holder')
+def check_histories(context: Any) -> None:
     broken = {
         seed: history.broken
         for seed, history in enumerate(context.histories)
@@ -380,7 +404,7 @@
 
 
 @then('the histories have takeovers and reports')
-def have_takeovers(context: Any) -> None:
-    several = [one for one in context.histories if one.holders > 1]
+def check_takeovers(context: Any) -> None:
+    several = [history for history in context.histories if history.holders > 1]
     assert len(several) * 3 > len(context.histories), len(several)
-    assert min(one.reported for one in context.histories) > 0
+    assert min(history.reported for history in context.histories) > 0
--- a/features/usage_scenes.py
+++ b/features/usage_scenes.py
@@ -1,4 +1,4 @@
-"""What scenes of usage reports share."""
+"""Helpers for scenarios of usage reports."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class SuspendableClock:
-    """A clock whose sleeps last until its machine runs again."""
+    """A clock whose sleeps do not end while the process is suspended."""
 
     def __init__(self, clock: Any) -> None:
         self._clock = clock
-        self._runs = asyncio.Event()
-        self._runs.set()
+        self._running = asyncio.Event()
+        self._running.set()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._clock, name)
 
     async def sleep(self, delay: dt.timedelta) -> None:
         await self._clock.sleep(delay)
-        await self._runs.wait()
+        await self._running.wait()
 
-    async def suspend(self, lasts: dt.timedelta) -> None:
-        self._runs.clear()
-        await self._clock.sleep(lasts)
-        self._runs.set()
+    async def suspend(self, duration: dt.timedelta) -> None:
+        self._running.clear()
+        await self._clock.sleep(duration)
+        self._running.set()
