--- a/bergamotdoor/peers/client.py
+++ b/bergamotdoor/peers/client.py
@@ -68,7 +68,7 @@
             The request.
         wait
             How long the other entry may wait before it replies. The request
-            times out after this and ``PEER_MARGIN``.
+            times out after this time and a fixed margin.
 
         Returns
         -------
--- a/bergamotdoor/peers/sharing.py
+++ b/bergamotdoor/peers/sharing.py
@@ -46,9 +46,10 @@
     change. Failure: the source is paused, or loses the store, at the moment
     of a change. Symptom: processes that are not affected themselves use an
     outdated view. A process that waits at a source that does not answer
-    notices within ``answer_wait`` and ``PEER_MARGIN``, 2.4 s of 4 s. A
-    process whose source lost the store gets a reply within the limit that
-    `trusted` returns, 2.5 s of 4 s. Both processes then list the kind.
+    notices within ``answer_wait`` and the margin of a request, 2.4 s of 4 s.
+    A process whose source lost the store gets a reply within the limit for
+    the store's answer to a watch, 2.5 s of 4 s. Both processes then list the
+    kind.
     """
 
     #: Time within which each process must know of a change.
--- a/bergamotdoor/reporting/counting.py
+++ b/bergamotdoor/reporting/counting.py
@@ -59,12 +59,12 @@
     def enter(self) -> int:
         """Register the arrival of a request.
 
-        Its window is not complete until `leave` is called.
+        Its window is not complete until the request has ended.
 
         Returns
         -------
         int
-            Number of the request, for `leave`.
+            Number of the request, with which its end is registered.
         """
         self._last_number += 1
         self._open_requests[self._last_number] = self.true_time()
@@ -78,7 +78,7 @@
         Parameters
         ----------
         number
-            Number that `enter` returned for the request.
+            Number that the registration of the arrival returned.
         account
             Client account of the request; empty if there is none.
         began
--- a/bergamotdoor/reporting/usage_duty.py
+++ b/bergamotdoor/reporting/usage_duty.py
@@ -59,7 +59,7 @@
         Runs the tasks that send announcements to other entries.
     """
 
-    #: Types of the messages that `take` handles.
+    #: Types of the peer messages that a usage duty handles.
     messages = (UsageTold, DutyHeld)
 
     def __init__(
