--- a/bergamotdoor/peers/messages.py
+++ b/bergamotdoor/peers/messages.py
@@ -131,7 +131,7 @@
 
 
 class ItemBody(msgspec.Struct, frozen=True, tag=True):
-    """The body of an item; ``None`` if it has a result or is unknown."""
+    """The body of an item; ``None`` if it is unknown or its result listed."""
 
     body: bytes | None
 
--- a/bergamotdoor/reporting/reporter.py
+++ b/bergamotdoor/reporting/reporter.py
@@ -31,8 +31,8 @@
 #: entries whose counts of the window are incomplete. The rest is reserved for a
 #: takeover.
 _COLLECTION_SHARE: Final = 0.6
-#: Share of the same time that each successor waits, in their order, before the
-#: next one takes the duty over.
+#: Share of the same time by which each successor in turn waits longer before it
+#: takes the duty over.
 _SUCCESSOR_SHARE: Final = 0.07
 #: The holder does not wait for an entry that sent no counts for so many
 #: windows.
@@ -130,7 +130,7 @@
 
         That is the case once the next window is not decided in time; each
         successor waits longer than the one before it. If there is no record,
-        the first successor creates one without waiting.
+        the first successor creates one as soon as it knows the other entries.
         """
         turn = self._peers.turn(self._store.known)
         known = self._store.known
--- a/bergamotdoor/reporting/telling.py
+++ b/bergamotdoor/reporting/telling.py
@@ -21,8 +21,8 @@
 #: since the last send are lost.
 _SEND_PAUSE_MS: Final = 500
 _SEND_PAUSE: Final = dt.timedelta(milliseconds=_SEND_PAUSE_MS)
-#: The pause grows by this for each known entry, so that the holder receives at
-#: most a hundred messages a second, however many entries there are.
+#: The pause is at least this long for each known entry, so that the holder
+#: receives at most a hundred messages a second, however many entries there are.
 _SEND_PAUSE_PER_ENTRY_MS: Final = 10
 _SEND_PAUSE_PER_ENTRY: Final = dt.timedelta(
     milliseconds=_SEND_PAUSE_PER_ENTRY_MS
