--- a/bergamotdoor/fleet/__init__.py
+++ b/bergamotdoor/fleet/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions about upstreams: which exist, how loaded, which to choose."""
+"""Decisions about upstreams: which exist, their load, and which to use."""
 
 from __future__ import annotations
--- a/bergamotdoor/fleet/choice.py
+++ b/bergamotdoor/fleet/choice.py
@@ -1,10 +1,11 @@
-"""Which upstream gets the next request.
+"""Selection of the upstream for the next request.
 
-Load pattern: a few upstreams per service, of unequal speed, some of which
-slow down when nearly full. The one that is expected to answer first gets
-the request: its load over its slots, times how long its answers take. One
-outside the zone costs bytes between zones and a millisecond, so it has to
-be clearly better.
+Load pattern: a service has a few upstreams of unequal speed, and some of
+them slow down when nearly full. A request is sent to the upstream that is
+expected to answer first, estimated from its usual latency and from the share
+of its slots in use. A request to another availability zone costs traffic
+between zones and a millisecond of latency, so an upstream there is selected
+only if it is clearly better.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
     from bergamotdoor.fleet.upstreams import Upstream
     from bergamotdoor.types import UpstreamId, ZoneId
 
-#: What an upstream outside the zone must be better by.
-_DETOUR: Final = 1.15
-#: Assumed for an upstream that was never measured.
-_UNKNOWN_LATENCY_S: Final = 0.03
+#: Factor on the expected latency of an upstream in another zone.
+_CROSS_ZONE_FACTOR: Final = 1.15
+#: Latency of an upstream for which there is no measurement yet.
+_DEFAULT_LATENCY_S: Final = 0.03
 
 
 def fastest(
@@ -34,22 +35,43 @@
 ) -> Upstream | None:
     """Return the upstream that is expected to answer first.
 
-    Upstreams that rest or are to be avoided are taken only if there is no
-    other; None if there is none at all.
+    Candidates that are neither in `avoid` nor in backoff are preferred, then
+    those that are in backoff, then those in `avoid`.
+
+    Parameters
+    ----------
+    candidates
+        Upstreams that may get the request.
+    loads
+        Load and latency of each upstream.
+    zone
+        Availability zone of this process.
+    now
+        The monotonic time.
+    avoid
+        Upstreams that are selected only if there is no other.
+
+    Returns
+    -------
+    Upstream or None
+        ``None`` if there are no candidates.
     """
     ranked = sorted(
         candidates, key=lambda upstream: _cost(upstream, loads, zone, now)
     )
-    able = [one for one in ranked if one.upstream not in avoid]
-    rested = [one for one in able if not loads.of(one.upstream).resting(now)]
-    return next(iter(rested or able or ranked), None)
+    preferred = [one for one in ranked if one.upstream not in avoid]
+    available = [
+        one for one in preferred if not loads.of(one.upstream).resting(now)
+    ]
+    return next(iter(available or preferred or ranked), None)
 
 
 def _cost(
     upstream: Upstream, loads: Loads, zone: ZoneId, now: dt.timedelta
 ) -> float:
+    """Return the expected latency in seconds, with the zone's factor."""
     load = loads.of(upstream.upstream)
-    fullness = (load.busy(now) + 1) / upstream.slots
-    latency_s = load.latency_s or _UNKNOWN_LATENCY_S
-    detour = 1 if upstream.zone == zone else _DETOUR
-    return latency_s * detour * (1 + fullness)
+    utilization = (load.busy(now) + 1) / upstream.slots
+    latency_s = load.latency_s or _DEFAULT_LATENCY_S
+    zone_factor = 1 if upstream.zone == zone else _CROSS_ZONE_FACTOR
+    return latency_s * zone_factor * (1 + utilization)
--- a/bergamotdoor/fleet/fleet.py
+++ b/bergamotdoor/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""The upstreams that are registered, by service."""
+"""Registered upstreams, by service."""
 
 from __future__ import annotations
 
@@ -19,108 +19,128 @@
         UpstreamId,
     )
 
-#: Registrations whose last start is remembered after they are gone.
-_MOST_STARTS: Final = 4096
+#: Maximum number of names whose newest start is kept. A start is kept after
+#: its registration is removed; the least recently updated is evicted first.
+_MAX_KNOWN_STARTS: Final = 4096
 
 
 class Fleet:
-    """Keeps registrations and the weight versions that were seen.
+    """Registered upstreams and the weight versions that engines have.
 
     Parameters
     ----------
     forget
-        Called with each incarnation that is gone, by whoever keeps
-        something of one.
+        Callbacks, each called with the id of every incarnation that is
+        removed, so that state kept for it elsewhere can be dropped.
     """
 
     def __init__(
         self, forget: Iterable[Callable[[UpstreamId], None]] = ()
     ) -> None:
-        self._forget = tuple(forget)
+        self._removal_callbacks = tuple(forget)
         self._upstreams: dict[UpstreamId, Upstream] = {}
+        #: The current incarnation under each registered name.
         self._incarnations: dict[RegistrationId, UpstreamId] = {}
-        #: The newest start that was seen of a registration.
-        self._starts: dict[RegistrationId, dt.timedelta] = {}
-        #: Absent from the store, kept until then.
-        self._lapsed: dict[RegistrationId, dt.timedelta] = {}
-        #: Incarnations that another one answered for.
+        #: The newest start that was registered under each name.
+        self._last_starts: dict[RegistrationId, dt.timedelta] = {}
+        #: Registrations that are missing from the store, and the monotonic
+        #: time until which their upstreams are kept.
+        self._lapsed_until: dict[RegistrationId, dt.timedelta] = {}
+        #: Incarnations whose address is used by another upstream now.
         self._replaced: dict[RegistrationId, UpstreamId] = {}
-        self._seen: dict[tuple[UpstreamId, ModelId], WeightVersion] = {}
+        self._versions: dict[tuple[UpstreamId, ModelId], WeightVersion] = {}
 
     def put(self, upstream: Upstream) -> None:
-        """Take a registration, new or changed.
+        """Add an upstream, or update it from a changed registration.
 
-        Failure: an upstream starts again under its name, and what its last
-        start wrote reaches the store late. Symptom: requests go to where
-        nobody listens, and what was learned of the new start is dropped.
-        An entry of an earlier start than the newest seen is left out.
+        Failure: an upstream restarts under the same name, and the last
+        registration of its previous incarnation reaches the store late.
+        Symptom: requests are sent to an address where nothing listens, and
+        the state kept for the new incarnation is dropped. A registration is
+        therefore ignored if a newer start was registered under its name.
         """
         name = upstream.registration
         if self._replaced.get(name) == upstream.upstream:
             return
-        if upstream.started < self._starts.get(name, upstream.started):
+        if upstream.started < self._last_starts.get(name, upstream.started):
             return
-        self._note_start(name, upstream.started)
-        known = self._incarnations.get(name, upstream.upstream)
-        if known != upstream.upstream:
-            self._drop(known)
+        self._record_start(name, upstream.started)
+        current = self._incarnations.get(name, upstream.upstream)
+        if current != upstream.upstream:
+            self._drop_incarnation(current)
         self._incarnations[name] = upstream.upstream
         self._upstreams[upstream.upstream] = upstream
-        self._lapsed.pop(name, None)
+        self._lapsed_until.pop(name, None)
         for model, version in upstream.versions.items():
             if version > self.version(upstream.upstream, model):
-                self._seen[upstream.upstream, model] = version
+                self._versions[upstream.upstream, model] = version
 
     def remove(self, name: RegistrationId) -> None:
-        """Drop an upstream that is no longer registered."""
+        """Remove the upstream under a name that is no longer registered."""
         self._replaced.pop(name, None)
-        self._lapsed.pop(name, None)
-        known = self._incarnations.pop(name, None)
-        if known is not None:
-            self._drop(known)
+        self._lapsed_until.pop(name, None)
+        current = self._incarnations.pop(name, None)
+        if current is not None:
+            self._drop_incarnation(current)
 
     def replaced(self, upstream: UpstreamId) -> None:
-        """Drop an incarnation whose address has another one by now.
+        """Remove an incarnation whose address is used by another upstream.
 
-        Its registration stays in the store until it lapses, seconds later;
-        each request that went there meanwhile would be refused.
+        Its registration stays in the store until it expires seconds later,
+        and is ignored for that time: each request to that address would be
+        refused.
         """
-        gone = self._upstreams.get(upstream)
-        if gone is not None:
-            self.remove(gone.registration)
-            self._replaced[gone.registration] = upstream
+        found = self._upstreams.get(upstream)
+        if found is not None:
+            self.remove(found.registration)
+            self._replaced[found.registration] = upstream
 
     def lapse(self, name: RegistrationId, until: dt.timedelta) -> None:
-        """Keep an upstream whose registration is missing for a while.
-
-        Failure: registrations expire while the store is away. Symptom:
-        upon its return all upstreams seem gone for two seconds, and every
-        request is refused. Whoever lives registers again within that time;
-        who does not is gone.
+        """Keep an upstream for a while although its registration is missing.
+
+        Failure: registrations expire while the store is unavailable.
+        Symptom: when the store is back, all upstreams appear to be gone for
+        two seconds, and every request is refused. A running upstream
+        registers again within that time; one that does not is removed by
+        :meth:`expire`.
+
+        Parameters
+        ----------
+        name
+            The missing registration.
+        until
+            Monotonic time at which the upstream is removed, unless it has
+            registered again. A deadline that is already set stays.
         """
         if name in self._incarnations:
-            self._lapsed.setdefault(name, until)
+            self._lapsed_until.setdefault(name, until)
 
     def expire(self, now: dt.timedelta) -> None:
-        """Drop those that did not register again in time."""
-        for name, until in tuple(self._lapsed.items()):
+        """Remove upstreams that did not register again before the deadline.
+
+        Parameters
+        ----------
+        now
+            The monotonic time.
+        """
+        for name, until in tuple(self._lapsed_until.items()):
             if now >= until:
                 self.remove(name)
 
     def missing_from(
         self, present: Iterable[RegistrationId]
     ) -> tuple[RegistrationId, ...]:
-        """Return those that are kept though not among the present."""
-        found = frozenset(present)
-        return tuple(name for name in self._incarnations if name not in found)
+        """Return the names of known upstreams that are not in `present`."""
+        listed = frozenset(present)
+        return tuple(name for name in self._incarnations if name not in listed)
 
     def registered(self, name: RegistrationId) -> Upstream | None:
-        """Return the upstream that is registered under a name."""
-        known = self._incarnations.get(name)
-        return None if known is None else self._upstreams[known]
+        """Return the upstream under a name, ``None`` if there is none."""
+        current = self._incarnations.get(name)
+        return None if current is None else self._upstreams[current]
 
     def of_service(self, service: ServiceId) -> Iterator[Upstream]:
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that accept new requests."""
         return (
             upstream
             for upstream in self._upstreams.values()
@@ -128,21 +148,21 @@
         )
 
     def __iter__(self) -> Iterator[Upstream]:
-        """Return all upstreams, draining ones too."""
+        """Return all upstreams, including those that drain."""
         return iter(self._upstreams.values())
 
     def __len__(self) -> int:
-        """Return how many are registered."""
+        """Return the number of upstreams, including those that drain."""
         return len(self._upstreams)
 
     def version(self, upstream: UpstreamId, model: ModelId) -> WeightVersion:
-        """Return the version last seen at an engine, 0 if none was."""
-        return self._seen.get((upstream, model), WeightVersion(0))
+        """Return the known version of a model at an engine, 0 if unknown."""
+        return self._versions.get((upstream, model), WeightVersion(0))
 
     def loaded(
         self, address: Address, model: ModelId, version: WeightVersion
     ) -> None:
-        """Take that the engine at an address has a version."""
+        """Record the version that the engine at an address has loaded."""
         for upstream in self._upstreams.values():
             if upstream.address == address:
                 self.saw(upstream.upstream, model, version)
@@ -150,19 +170,21 @@
     def saw(
         self, upstream: UpstreamId, model: ModelId, version: WeightVersion
     ) -> None:
-        """Take the version that an engine's own answer named."""
+        """Record the version that an engine stated in a response."""
         if upstream in self._upstreams:
-            self._seen[upstream, model] = version
-
-    def _drop(self, upstream: UpstreamId) -> None:
-        gone = self._upstreams.pop(upstream)
-        for model in gone.versions:
-            self._seen.pop((upstream, model), None)
-        for forget in self._forget:
-            forget(upstream)
-
-    def _note_start(self, name: RegistrationId, started: dt.timedelta) -> None:
-        self._starts.pop(name, None)
-        self._starts[name] = started
-        if len(self._starts) > _MOST_STARTS:
-            self._starts.pop(next(iter(self._starts)))
+            self._versions[upstream, model] = version
+
+    def _drop_incarnation(self, upstream: UpstreamId) -> None:
+        removed = self._upstreams.pop(upstream)
+        for model in removed.versions:
+            self._versions.pop((upstream, model), None)
+        for callback in self._removal_callbacks:
+            callback(upstream)
+
+    def _record_start(
+        self, name: RegistrationId, started: dt.timedelta
+    ) -> None:
+        self._last_starts.pop(name, None)
+        self._last_starts[name] = started
+        if len(self._last_starts) > _MAX_KNOWN_STARTS:
+            self._last_starts.pop(next(iter(self._last_starts)))
--- a/bergamotdoor/fleet/loads.py
+++ b/bergamotdoor/fleet/loads.py
@@ -1,9 +1,10 @@
-"""How loaded and how well each upstream is, as far as one process knows.
+"""Load and health of each upstream, as far as one process knows them.
 
-Load pattern: bursts of items and a trickle of calls from several processes
-that do not tell each other what they send. Each counts its own requests,
-adds what the upstream told of the others a moment ago, and leaves an
-upstream that refuses or breaks alone for a while.
+Load pattern: bursts of batch items and a trickle of calls, sent by several
+processes that do not tell each other what they send. Each process counts its
+own requests and adds those of the others, which the upstream reported a
+moment ago. After a refusal or a failure it sends the upstream nothing for a
+backoff period.
 """
 
 from __future__ import annotations
@@ -16,137 +17,161 @@
 if TYPE_CHECKING:
     from bergamotdoor.types import UpstreamId
 
-#: After a refusal the upstream is full or loading weights, which takes
-#: about a second; asking more often costs connections and gains nothing.
-_REFUSAL_REST_MS: Final = 300
-REFUSAL_REST: Final = dt.timedelta(milliseconds=_REFUSAL_REST_MS)
-#: How long one request is alone on its way to an upstream that refused
-#: before: it tells whether the others may follow.
+#: Backoff after a refusal. The upstream is full or loads weights, which takes
+#: about a second; more frequent retries cost connections and gain nothing.
+_REFUSAL_BACKOFF_MS: Final = 300
+REFUSAL_REST: Final = dt.timedelta(milliseconds=_REFUSAL_BACKOFF_MS)
+#: Time for which a single probe request is sent to an upstream that refused
+#: before. Its response shows whether other requests may follow.
 _PROBE_TIME_MS: Final = 250
 PROBE_TIME: Final = dt.timedelta(milliseconds=_PROBE_TIME_MS)
-#: After a broken or failed request; doubled with each one that follows.
-_FAILURE_REST_MS: Final = 500
-FAILURE_REST: Final = dt.timedelta(milliseconds=_FAILURE_REST_MS)
-_MOST_DOUBLINGS: Final = 4
-#: What an upstream told of its load is worth nothing after this.
-_TOLD_AGE: Final = dt.timedelta(seconds=2)
-#: The weight of the newest measurement.
-_SMOOTHING: Final = 0.25
+#: Backoff after a broken or failed request; doubled by each consecutive one.
+_FAILURE_BACKOFF_MS: Final = 500
+FAILURE_REST: Final = dt.timedelta(milliseconds=_FAILURE_BACKOFF_MS)
+_MAX_BACKOFF_DOUBLINGS: Final = 4
+#: Age from which an upstream's report of its load is disregarded.
+_MAX_REPORT_AGE: Final = dt.timedelta(seconds=2)
+#: Weight of the newest measurement in the moving average of the latency.
+_LATENCY_SMOOTHING: Final = 0.25
 
 _ZERO: Final = dt.timedelta()
 
 
 class ToldLoad(msgspec.Struct, frozen=True):
-    """What an upstream says of its load in an answer."""
+    """An upstream's load, as it reports it in a response."""
 
+    #: Number of requests that it runs, and that wait in its queue.
     running: int
     waiting: int
+    #: Number of requests that it runs concurrently at most.
     slots: int
 
 
 class UpstreamLoad:
-    """What is known of one upstream now."""
+    """Load, latency and backoff of one upstream."""
 
     def __init__(self) -> None:
+        #: Requests of this process that are in flight.
         self.in_flight = 0
-        #: Slots that are kept for requests on their way from elsewhere.
+        #: Slots that are reserved for items that move to this upstream.
         self.kept = 0
-        #: How long its answers take, in seconds; 0 while unmeasured.
+        #: Moving average of its latency in seconds; 0 while unmeasured.
         self.latency_s = float()
-        #: Requests of other processes that it told of.
-        self._others = 0
-        self._told_at = _ZERO
-        self._rest_until = _ZERO
-        #: Failures since the last good answer.
+        #: Requests of other processes, as of the upstream's last report.
+        self._reported_others = 0
+        self._reported_at = _ZERO
+        self._backoff_until = _ZERO
+        #: Failures since the last successful request.
         self._failures = 0
-        #: Refusals since it last took a request.
+        #: Refusals since the last accepted request.
         self._refusals = 0
 
     def enter(self) -> None:
-        """Take that a request is on its way, before it is sent."""
+        """Count a request as in flight; called before it is sent."""
         self.in_flight += 1
 
     def leave(self) -> None:
-        """Take that a request has ended, however it did."""
+        """Stop counting a request as in flight, whatever its outcome."""
         self.in_flight -= 1
 
     def told(self, busy: int, now: dt.timedelta) -> None:
-        """Take how many requests it says to have, running and waiting."""
-        self._others = max(busy - self.in_flight, 0)
-        self._told_at = now
+        """Record a load report of the upstream.
+
+        Parameters
+        ----------
+        busy
+            Number of requests that it runs or keeps in its queue, those of
+            this process included.
+        now
+            The monotonic time.
+        """
+        self._reported_others = max(busy - self.in_flight, 0)
+        self._reported_at = now
 
     def refused(self, now: dt.timedelta) -> None:
-        """Take a refusal."""
+        """Record that the upstream refused a request, and begin a backoff."""
         self._refusals += 1
-        self._rest_until = max(self._rest_until, now + REFUSAL_REST)
+        self._backoff_until = max(self._backoff_until, now + REFUSAL_REST)
 
     def placed(self, now: dt.timedelta) -> None:
-        """Take that a request goes there.
+        """Record that a request is sent to the upstream.
 
-        Failure: an upstream loads weights and refuses everything for a
-        second. Symptom: sixteen requests go there whenever its rest ends,
-        each with a connection of its own, and come back. One is enough.
+        Failure: an upstream loads weights and refuses all requests for a
+        second. Symptom: whenever its backoff ends, sixteen requests are sent
+        to it, each on a connection of its own, and are refused. After a
+        refusal, a single probe request is therefore sent.
         """
         if self._refusals:
-            self._rest_until = now + PROBE_TIME
+            self._backoff_until = now + PROBE_TIME
 
     def accepted(self, now: dt.timedelta) -> None:
-        """Take that it runs a request."""
+        """Record that the upstream runs a request.
+
+        This ends the backoff that follows a refusal.
+        """
         if self._refusals:
             self._refusals = 0
-            self._rest_until = min(self._rest_until, now)
+            self._backoff_until = min(self._backoff_until, now)
 
     def failed(self, now: dt.timedelta) -> None:
-        """Take a broken or failed request.
+        """Record a broken or failed request, and begin a backoff.
 
-        Requests that break together, as when a link resets, are one
-        failure: counted one by one they would keep a sound upstream alone
-        for seconds, and all others with it.
+        Requests that break at the same time, for instance when a link is
+        reset, count as one failure. Counted one by one, they would keep a
+        healthy upstream in backoff for seconds, and all other upstreams with
+        it.
         """
         if self.resting(now):
             return
-        doublings = min(self._failures, _MOST_DOUBLINGS)
+        doublings = min(self._failures, _MAX_BACKOFF_DOUBLINGS)
         self._failures += 1
-        rest = FAILURE_REST * (1 << doublings)
-        self._rest_until = max(self._rest_until, now + rest)
+        backoff = FAILURE_REST * (1 << doublings)
+        self._backoff_until = max(self._backoff_until, now + backoff)
 
     def succeeded(self) -> None:
-        """Take that a request was served to its end."""
+        """Record that the upstream ran a request to its end."""
         self._refusals = 0
         self._failures = 0
 
     def answered(self, latency: dt.timedelta) -> None:
-        """Take a good answer, and how long it took."""
+        """Record a successful response and its latency."""
         self.succeeded()
         seconds = latency.total_seconds()
         if self.latency_s:
-            self.latency_s += _SMOOTHING * (seconds - self.latency_s)
+            self.latency_s += _LATENCY_SMOOTHING * (seconds - self.latency_s)
         else:
             self.latency_s = seconds
 
     def resting(self, now: dt.timedelta) -> bool:
-        """Return whether it should be left alone."""
-        return now < self._rest_until
+        """Return whether the upstream is in backoff."""
+        return now < self._backoff_until
 
     def busy(self, now: dt.timedelta) -> int:
-        """Return how many requests it probably has."""
+        """Return the estimated number of requests at the upstream.
+
+        Reserved slots count as requests.
+        """
         return self.in_flight + self.kept + self.others(now)
 
     def others(self, now: dt.timedelta) -> int:
-        """Return how many of these are probably of other processes."""
-        return self._others if now - self._told_at < _TOLD_AGE else 0
+        """Return the estimated number of requests of other processes."""
+        return (
+            self._reported_others
+            if now - self._reported_at < _MAX_REPORT_AGE
+            else 0
+        )
 
 
 class Loads:
-    """The loads of all upstreams."""
+    """Load of every upstream."""
 
     def __init__(self) -> None:
         self._loads: dict[UpstreamId, UpstreamLoad] = {}
 
     def of(self, upstream: UpstreamId) -> UpstreamLoad:
-        """Return the load of one upstream."""
+        """Return the load of an upstream; a new one if it is unknown."""
         return self._loads.setdefault(upstream, UpstreamLoad())
 
     def forget(self, upstream: UpstreamId) -> None:
-        """Drop an upstream that is gone."""
+        """Drop the load of an upstream that was removed."""
         self._loads.pop(upstream, None)
--- a/bergamotdoor/fleet/orders.py
+++ b/bergamotdoor/fleet/orders.py
@@ -1,4 +1,4 @@
-"""Messages between an agent and its engine."""
+"""Messages between an agent and the engine on its VM."""
 
 from __future__ import annotations
 
@@ -11,44 +11,47 @@
 
 
 class LoadMode(enum.Enum):
-    """What becomes of requests in progress while weights are loaded."""
+    """How an engine treats requests in progress while it loads weights."""
 
-    #: They finish first.
+    #: The requests finish before the weights are loaded.
     WAIT = 'wait'
-    #: Their streams are reset.
+    #: The response streams of the requests are reset.
     TRUNCATE = 'truncate'
-    #: They go on under the new version.
+    #: The requests continue with the new version.
     RETAIN = 'retain'
 
 
 class PublishedVersion(msgspec.Struct, frozen=True):
-    """A version of a model's weights that its trainer has named."""
+    """A version of a model's weights that its trainer has published."""
 
     model: ModelId
     version: WeightVersion
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """An engine's state, as it reports it itself."""
+    """An engine's state, as the engine itself reports it."""
 
     versions: dict[ModelId, WeightVersion]
-    #: Whether an order is being carried out.
+    #: Whether the engine is carrying out an order.
     loading: bool
-    #: How many orders it accepted since its start.
+    #: Number of orders that the engine has accepted since its start.
     accepted_orders: int
+    #: Number of requests that the engine runs, and that wait in its queue.
     running: int = 0
     waiting: int = 0
-    #: When it started, by its own word; zero where it does not tell.
+    #: Time of the engine's start since the Unix epoch; zero if it states none.
     started: dt.timedelta = dt.timedelta()
 
 
 class LoadOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to an engine to take a version of a model."""
+    """An order to an engine to load a version of a model's weights."""
 
     model: ModelId
     version: WeightVersion
     mode: LoadMode
+    #: The agent that sends the order.
     holder: NodeId
     fencing_token: FencingToken
-    #: The count that the engine must still have, or it refuses.
+    #: The engine refuses the order if its own count of accepted orders
+    #: differs from this.
     accepted_orders: int
--- a/bergamotdoor/fleet/quarantine.py
+++ b/bergamotdoor/fleet/quarantine.py
@@ -1,12 +1,17 @@
-"""Requests under which upstreams ended, and when they may be sent again.
-
-Load pattern: a request that makes each upstream crash that runs it, among
-many that do no harm. It comes again under other ids and at other entries,
-and a service of three upstreams is lost to all callers for the seconds that
-they take to start. Upstreams also end for other causes, with requests in
-progress that had no part in it. So a request is suspected by a chain: one
-upstream ended under it, it was sent on with that known, and the next one
-ended as well. A request that an upstream has answered is above suspicion.
+"""Quarantine of requests that crash upstreams.
+
+Load pattern: among many harmless requests there is one that crashes each
+upstream that runs it (a query of death). It is repeated under other ids and
+through other entry processes, and a service of three upstreams is unavailable
+to all callers for the seconds that the upstreams take to start. Upstreams
+also crash for other reasons, while they run requests that did not cause it. A
+request is therefore suspected because of a chain: one upstream crashed while
+it ran the request, the request was sent on with that crash known, and the
+next upstream crashed as well. A request that an upstream has answered is no
+longer suspected.
+
+A strike records that an upstream crashed while it ran a request. The strikes
+of a request are counted by the length of its chain.
 """
 
 from __future__ import annotations
@@ -21,73 +26,94 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-#: A call rests once so many upstreams ended under it in a chain. A service
-#: of three keeps one, and a caller waits for a few hundred milliseconds.
+#: Number of strikes from which a call is quarantined. A service of three
+#: upstreams keeps one of them, and a caller waits for only a few hundred
+#: milliseconds.
 CALL_STRIKES: Final = 2
-#: An item rests later: a dozen others run beside it, and those that went on
-#: together with the one at fault are told apart by the next end.
+#: Number of strikes from which an item of a batch job is quarantined. It is
+#: higher than for calls, since a dozen other items run beside each item. Those
+#: that were sent on together with the item at fault have as many strikes as
+#: that item, and only the next crash distinguishes them.
 ITEM_STRIKES: Final = 3
-#: How long it rests after the first such end, and after each that follows.
-#: The first lets upstreams come back, so that the request never takes the
-#: last ones, and is short as the suspicion may be wrong. From the second on
-#: it is all but certain. One more is tried now and then, as new software may
-#: have mended the fault, and seldom: each try costs an upstream, or several
-#: where the request comes to several entries at once.
-_RESTS_S: Final = (5, 120, 600, 1800)
-_RESTS: Final = tuple(dt.timedelta(seconds=rest_s) for rest_s in _RESTS_S)
-#: Upstreams that a common cause ends are seen to end within this.
-_AT_ONCE_MS: Final = 150
-_AT_ONCE: Final = dt.timedelta(milliseconds=_AT_ONCE_MS)
-_NO_REST: Final = dt.timedelta()
-#: Ended upstreams that are remembered; the oldest goes first.
-_MOST_ENDED: Final = 256
+#: Duration of the quarantine from the first crash that reaches the threshold,
+#: and from each further one. The first is long enough for upstreams to start
+#: again, so that the request never crashes the last ones, and short because
+#: the suspicion may be wrong. From the second on it is all but certain. The
+#: request is still retried, since new software may have fixed the fault, but
+#: rarely: each attempt costs an upstream, or several if the request arrives
+#: at several entry processes at once.
+_QUARANTINE_TIMES_S: Final = (5, 120, 600, 1800)
+_QUARANTINE_TIMES: Final = tuple(
+    dt.timedelta(seconds=time_s) for time_s in _QUARANTINE_TIMES_S
+)
+#: Crashes with a common cause are noticed within this time of each other.
+_COMMON_CAUSE_TIME_MS: Final = 150
+_COMMON_CAUSE_TIME: Final = dt.timedelta(milliseconds=_COMMON_CAUSE_TIME_MS)
+_NO_TIME: Final = dt.timedelta()
+#: Maximum number of crashed upstreams whose strikes are kept. The one that
+#: was added first is evicted first.
+_MAX_CRASHED_UPSTREAMS: Final = 256
 
 
 class Strike(msgspec.Struct, frozen=True):
-    """An upstream that ended while it ran a request."""
+    """A crash of an upstream while it ran a request."""
 
     fingerprint: Fingerprint
     upstream: UpstreamId
-    #: How many were known to have ended under it when it was sent there.
+    #: The request's strikes that were known when it was sent to the upstream.
     before: int = 0
-    #: Which of the ends under it this is by time, as far as its reporter
-    #: knew; those of one moment have one number.
+    #: Position of this crash among the request's crashes, ordered by time, as
+    #: far as the process knew that recorded it. Crashes at the same time have
+    #: the same number.
     number: int = 0
 
 
 class Quarantine:
-    """Keeps the strikes that this process knows of."""
+    """Strikes that this process knows, and the quarantines they imply."""
 
     def __init__(self) -> None:
-        #: What ran at each upstream that ended; the oldest first.
+        #: The strikes of each crashed upstream, in the order of arrival.
         self._ended: dict[UpstreamId, dict[Fingerprint, Strike]] = {}
-        #: Strikes that still count, by request.
-        self._counting: dict[Fingerprint, dict[UpstreamId, Strike]] = {}
-        #: When the last strike of a request was learned.
-        self._learned: dict[Fingerprint, dt.timedelta] = {}
+        #: The strikes of each request that no upstream has answered since.
+        self._by_request: dict[Fingerprint, dict[UpstreamId, Strike]] = {}
+        #: Monotonic time at which the last strike of a request was added.
+        self._last_added_at: dict[Fingerprint, dt.timedelta] = {}
 
     def __bool__(self) -> bool:
-        """Return whether any request is suspected at all."""
-        return bool(self._counting)
+        """Return whether any request has strikes."""
+        return bool(self._by_request)
 
     def __iter__(self) -> Iterator[Strike]:
-        """Return the strikes that count, those learned last first."""
-        for upstream, ran in reversed(self._ended.items()):
-            for fingerprint, strike in ran.items():
-                if upstream in self._counting.get(fingerprint, ()):
+        """Return the strikes that count, those that were added last first."""
+        for upstream, at_upstream in reversed(self._ended.items()):
+            for fingerprint, strike in at_upstream.items():
+                if upstream in self._by_request.get(fingerprint, ()):
                     yield strike
 
     def add(self, strike: Strike, now: dt.timedelta) -> bool:
-        """Take a strike from here or elsewhere; return whether it is new."""
-        ran = self._ended.setdefault(strike.upstream, {})
-        if strike.fingerprint in ran:
+        """Add a strike of this process or of another one.
+
+        Parameters
+        ----------
+        strike
+            The strike; it may be known already.
+        now
+            The monotonic time.
+
+        Returns
+        -------
+        bool
+            Whether the strike was not known.
+        """
+        at_upstream = self._ended.setdefault(strike.upstream, {})
+        if strike.fingerprint in at_upstream:
             return False
-        ran[strike.fingerprint] = strike
-        counting = self._counting.setdefault(strike.fingerprint, {})
-        counting[strike.upstream] = strike
-        self._learned[strike.fingerprint] = now
-        if len(self._ended) > _MOST_ENDED:
-            self._forget(next(iter(self._ended)))
+        at_upstream[strike.fingerprint] = strike
+        of_request = self._by_request.setdefault(strike.fingerprint, {})
+        of_request[strike.upstream] = strike
+        self._last_added_at[strike.fingerprint] = now
+        if len(self._ended) > _MAX_CRASHED_UPSTREAMS:
+            self._evict_upstream(next(iter(self._ended)))
         return True
 
     def next_strike(
@@ -97,91 +123,120 @@
         before: int,
         now: dt.timedelta,
     ) -> Strike:
-        """Return the strike of an upstream that has just ended.
+        """Return the strike for an upstream that has just crashed.
+
+        Failure: a request arrives many times at once, under different ids, and
+        runs at all upstreams before the first of them crashes. Symptom: each
+        copy was sent before any crash was known, so all upstreams crash and
+        no chain forms. Crashes that follow one another are therefore numbered
+        and count as a chain as well.
 
-        Failure: a request comes many times at once, under other ids, and is
-        at all upstreams before the first of them ends. Symptom: none was sent
-        there knowing of another's end, and all of them end without a chain.
-        Ends that come one after the other are counted as well.
+        Parameters
+        ----------
+        fingerprint
+            The request that the upstream ran.
+        upstream
+            The crashed upstream.
+        before
+            The request's strikes that were known when it was sent there.
+        now
+            The monotonic time.
         """
-        learned_at = self._learned.get(fingerprint)
+        last_added_at = self._last_added_at.get(fingerprint)
         strikes = self.strikes(fingerprint)
-        at_once = learned_at is not None and now - learned_at < _AT_ONCE
-        number = max(strikes, 1) if at_once else strikes + 1
+        has_common_cause = (
+            last_added_at is not None
+            and now - last_added_at < _COMMON_CAUSE_TIME
+        )
+        number = max(strikes, 1) if has_common_cause else strikes + 1
         return Strike(fingerprint, upstream, before, number)
 
     def completed(self, fingerprint: Fingerprint) -> None:
-        """Take that an upstream has answered a request."""
-        self._counting.pop(fingerprint, None)
-        self._learned.pop(fingerprint, None)
+        """Clear a request's strikes after an upstream has answered it."""
+        self._by_request.pop(fingerprint, None)
+        self._last_added_at.pop(fingerprint, None)
 
     def strikes(self, fingerprint: Fingerprint) -> int:
-        """Return how many upstreams ended under a request in a chain.
+        """Return a request's number of strikes: the length of its chain.
 
-        Upstreams that end at the same moment are one link: a common cause
-        ended them, since the request was sent to none of them because of
-        another's end.
+        Upstreams that crash at the same time count as one: they have a common
+        cause, since the request was sent to none of them because another one
+        had crashed.
 
-        Failure: several requests end upstreams, and one of them always runs
-        beside another with a longer chain. Symptom: it is sent on however
-        often an upstream ends under it. The first such end is chance, and
-        each further one counts.
+        Failure: of several requests that crash upstreams, one always runs
+        beside another that has a longer chain. Symptom: it is sent on however
+        often an upstream crashes while it runs. The first crash beside a
+        longer chain is taken for chance, and each further one counts.
         """
-        counting = self._counting.get(fingerprint, {})
-        links = [
+        of_request = self._by_request.get(fingerprint, {})
+        chain_lengths = [
             max(strike.before + 1, strike.number)
-            for strike in counting.values()
-            if self._is_suspect(strike)
+            for strike in of_request.values()
+            if self._has_longest_chain(strike)
         ]
-        beside_others = len(counting) - len(links)
-        return max(0, beside_others - 1, *links)
+        beside_longer_chains = len(of_request) - len(chain_lengths)
+        return max(0, beside_longer_chains - 1, *chain_lengths)
 
     def rest(
         self, fingerprint: Fingerprint, least: int, now: dt.timedelta
     ) -> dt.timedelta:
-        """Return how long a request must not be sent; zero if it may be.
+        """Return how much longer a request is quarantined.
 
         Parameters
         ----------
         fingerprint
-            Of the request.
+            The request.
         least
-            From how many strikes on it rests.
+            Number of strikes from which it is quarantined.
         now
             The monotonic time.
+
+        Returns
+        -------
+        datetime.timedelta
+            Zero if the request may be sent.
         """
-        beyond = self.strikes(fingerprint) - least
-        if beyond < 0:
-            return _NO_REST
-        rest = _RESTS[min(beyond, len(_RESTS) - 1)]
-        return max(self._learned[fingerprint] + rest - now, _NO_REST)
+        excess = self.strikes(fingerprint) - least
+        if excess < 0:
+            return _NO_TIME
+        duration = _QUARANTINE_TIMES[min(excess, len(_QUARANTINE_TIMES) - 1)]
+        return max(self._last_added_at[fingerprint] + duration - now, _NO_TIME)
 
     def suspected(self) -> Iterator[Fingerprint]:
-        """Return the requests under which more than one upstream ended."""
+        """Return the requests that have more than one strike."""
         return (
             fingerprint
-            for fingerprint in self._counting
+            for fingerprint in self._by_request
             if self.strikes(fingerprint) > 1
         )
 
-    def _is_suspect(self, strike: Strike) -> bool:
-        """Return whether nothing that ran there was suspected more.
+    def _has_longest_chain(self, strike: Strike) -> bool:
+        """Return whether no request at the same upstream had a longer chain.
 
-        Failure: what ran beside a request that ends upstreams goes on at
-        another one together with it, and that ends as well. Symptom: a
-        request that did nothing rests. It has the shorter chain.
+        Failure: a request that crashes upstreams and the requests that ran
+        beside it are sent on to the same upstream, and that one crashes as
+        well. Symptom: a harmless request is quarantined. The harmless request
+        has the shorter chain, so this crash does not count against it.
         """
-        ran = self._ended[strike.upstream].values()
-        return all(strike.before >= other.before for other in ran)
+        at_upstream = self._ended[strike.upstream].values()
+        return all(strike.before >= other.before for other in at_upstream)
 
-    def _forget(self, upstream: UpstreamId) -> None:
+    def _evict_upstream(self, upstream: UpstreamId) -> None:
         for fingerprint in self._ended.pop(upstream):
-            counting = self._counting.get(fingerprint, {})
-            counting.pop(upstream, None)
-            if not counting:
+            of_request = self._by_request.get(fingerprint, {})
+            of_request.pop(upstream, None)
+            if not of_request:
                 self.completed(fingerprint)
 
 
 def newest(strikes: Iterable[Strike], most: int) -> tuple[Strike, ...]:
-    """Return so many of the strikes that were learned last."""
+    """Return the `most` strikes that were added last.
+
+    Parameters
+    ----------
+    strikes
+        Strikes in the order of a :class:`Quarantine`, the newest first.
+    most
+        Maximum number of strikes to return.
+    """
     return tuple(strike for _, strike in zip(range(most), strikes))
--- a/bergamotdoor/fleet/swap.py
+++ b/bergamotdoor/fleet/swap.py
@@ -1,13 +1,16 @@
-"""Which engines take which model's new weights, and when.
-
-Load pattern: several trainers share the engines, and each names a version
-every few seconds. Loaded everywhere, the versions of four models would keep
-every engine loading all the time, one second each. So the engines of a
-service are dealt out, as many for each model, and only a model's own
-engines take its versions; the others keep what they have and get none of
-its later items. A model's engines load two at a time, in an order that each
-works out alone from the list of registrations, since an engine serves
-nothing of a model while it loads it, and more together load more slowly.
+"""Assignment of models to engines, and the order in which weights are loaded.
+
+Load pattern: several trainers share the engines, and each publishes a version
+every few seconds. If each engine loaded the versions of all four models, every
+engine would be loading all the time, for one second per version. The engines
+of a service are therefore divided evenly among the models, and an engine loads
+only the versions of models that are assigned to it. It keeps the weights that
+it has of the other models and gets none of their later items.
+
+The engines of a model load two at a time: an engine serves no requests for a
+model while it loads that model's weights, and more engines that load together
+load more slowly. Each agent computes the order on its own, from the list of
+registrations.
 """
 
 from __future__ import annotations
@@ -22,91 +25,105 @@
     from bergamotdoor.settings.document import Address
     from bergamotdoor.types import ModelId
 
-#: Engines of a model that load together without slowing each other down.
+#: Number of a model's engines that load together without slowing each other
+#: down.
 AT_ONCE: Final = 2
-#: How long a load takes.
+#: Duration of one load.
 _LOAD_TIME_MS: Final = 950
 LOAD_TIME: Final = dt.timedelta(milliseconds=_LOAD_TIME_MS)
-#: How long the first loads wait. A trainer asks its next step with the news
-#: of a version, and that step takes the version before; its burst is over
-#: after a second, since most items have some twenty events of 40 ms.
+#: Delay of the first loads after a version is published. A trainer submits
+#: its next step at the same time, and that step uses the version before. The
+#: step's burst is over after a second, since most items have some twenty
+#: events of 40 ms.
 _BURST_S: Final = 1
 BURST: Final = dt.timedelta(seconds=_BURST_S)
-#: In which a model's engines take a version, however many they are. It must
-#: be everywhere within 26 s, and an order that is lost is given again.
-_ROLLOUT_TIME_S: Final = 20
-ROLLOUT_TIME: Final = dt.timedelta(seconds=_ROLLOUT_TIME_S)
+#: Time within which all engines of a model load a version, however many they
+#: are. All of them must have it within 26 s, and a lost order is sent again.
+_TOTAL_LOAD_TIME_S: Final = 20
+ROLLOUT_TIME: Final = dt.timedelta(seconds=_TOTAL_LOAD_TIME_S)
 
 
 class Roster:
-    """Which engine of a service takes the versions of which model.
+    """Assignment of models to the engines of one service.
 
     Parameters
     ----------
     engines
-        All registered upstreams; others than engines are left out.
+        All registered upstreams. Those of other services are ignored.
     own
-        Where the engine listens whose service is meant.
+        Address of this agent's own engine. It selects the service.
     """
 
     def __init__(self, engines: Iterable[Upstream], own: Address) -> None:
-        known = tuple(engines)
+        registered = tuple(engines)
         service = next(
-            (one.service for one in known if one.address == own), None
+            (one.service for one in registered if one.address == own), None
         )
-        members = [one for one in known if one.service == service]
+        members = [one for one in registered if one.service == service]
         self._models = sorted(
             {model for one in members for model in one.versions}
         )
-        self._places = sorted(
+        self._addresses = sorted(
             {(one.address.ip, one.address.port) for one in members}
         )
         self._own = own
 
     def models(self) -> frozenset[ModelId]:
-        """Return the models whose versions the own engine takes.
+        """Return the models whose versions the own engine loads.
 
-        Each model has at least one engine; where there are more models
-        than engines, an engine takes several.
+        Each model has at least one engine. If there are more models than
+        engines, an engine loads several models. An engine that is not
+        registered loads none.
         """
-        if not self._known:
+        if not self._is_registered:
             return frozenset()
         return frozenset(
             model
             for model in self._models
-            if self._own_place in self._engines_of(model)
+            if self._own_index in self._engine_range(model)
         )
 
     def turn_delay(self, model: ModelId) -> dt.timedelta:
         """Return how long the own engine waits for its turn to load.
 
-        Failure: engines load in the moment in which a step arrives.
-        Symptom: they refuse its items for a second; on a site of four
-        trainers up to the whole step began that late. Loads wait for the
-        burst to be over; each engine has the version before the next step
-        needs it.
+        Failure: engines load weights while a step arrives. Symptom: they
+        refuse its items for a second; on a site of four trainers, up to the
+        whole step started a second late. Loads therefore begin after the
+        step's burst, and each engine still has the version before the next
+        step needs it.
+
+        Parameters
+        ----------
+        model
+            The model of which a version is to be loaded.
+
+        Returns
+        -------
+        datetime.timedelta
+            Zero if the own engine does not load this model's versions.
         """
-        takers = self._engines_of(model)
-        if not self._known or self._own_place not in takers:
+        indexes = self._engine_range(model)
+        if not self._is_registered or self._own_index not in indexes:
             return dt.timedelta()
-        # So many that the whole model has new weights in time: 4 of 78.
-        at_once = max(AT_ONCE, -(-len(takers) * LOAD_TIME // ROLLOUT_TIME))
-        turn = takers.index(self._own_place) // at_once
+        # 4 of 78 engines load at a time, so that all have the version in time.
+        concurrent = max(AT_ONCE, -(-len(indexes) * LOAD_TIME // ROLLOUT_TIME))
+        turn = indexes.index(self._own_index) // concurrent
         return BURST + turn * LOAD_TIME
 
     @property
-    def _known(self) -> bool:
-        return (self._own.ip, self._own.port) in self._places
+    def _is_registered(self) -> bool:
+        return (self._own.ip, self._own.port) in self._addresses
 
     @property
-    def _own_place(self) -> int:
-        return self._places.index((self._own.ip, self._own.port))
-
-    def _engines_of(self, model: ModelId) -> range:
-        # Neighbours by address: the loss of an engine moves a few borders
-        # by one, and few engines have to change their model.
-        count = len(self._places)
+    def _own_index(self) -> int:
+        return self._addresses.index((self._own.ip, self._own.port))
+
+    def _engine_range(self, model: ModelId) -> range:
+        # Each model has a contiguous range of the engines, sorted by address.
+        # The loss of an engine shifts a few boundaries by one, so few engines
+        # have to change their model.
+        count = len(self._addresses)
         number = self._models.index(model)
         first = number * count // len(self._models)
-        behind = (number + 1) * count // len(self._models)
-        return range(first, max(behind, first + 1))
+        end = (number + 1) * count // len(self._models)
+        return range(first, max(end, first + 1))
--- a/bergamotdoor/fleet/upstreams.py
+++ b/bergamotdoor/fleet/upstreams.py
@@ -1,4 +1,4 @@
-"""What is known of the upstreams from their registrations."""
+"""Upstreams, as their registrations describe them."""
 
 from __future__ import annotations
 
@@ -21,33 +21,48 @@
 class Upstream(msgspec.Struct, frozen=True, kw_only=True):
     """One incarnation of an engine or a plain service."""
 
-    #: Names the incarnation, see ``incarnation``.
+    #: Id of the incarnation, see :func:`incarnation`.
     upstream: UpstreamId
+    #: Name under which the upstream is registered.
     registration: RegistrationId
     service: ServiceId
     address: Address
     zone: ZoneId
-    #: Requests that it runs at once.
+    #: Number of requests that it runs concurrently.
     slots: int
-    #: It leaves soon and takes no new work.
+    #: Whether it is about to leave and accepts no new requests.
     draining: bool = False
-    #: How much longer it stays slow after its start, when registered.
+    #: Remaining time for which it is slow after its start, as of its
+    #: registration.
     cold: dt.timedelta = dt.timedelta()
-    #: The version of each model it serves; empty for a plain service.
+    #: The version of each model that it serves; empty for a plain service.
     versions: dict[ModelId, WeightVersion] = {}
-    #: When it started, by its own word; zero where it does not tell.
+    #: Time of its start since the Unix epoch, as the upstream states it; zero
+    #: if it states none.
     started: dt.timedelta = dt.timedelta()
 
 
 def incarnation(
     registration: RegistrationId, started: dt.timedelta
 ) -> UpstreamId:
-    """Return the name of one start of an upstream.
+    """Return the id of one incarnation of an upstream.
 
-    Failure: an upstream starts again under the name that it had. Symptom:
-    what was known of it (its load, its pace, prompts that it had cached,
-    that it failed) is taken for true of one that has just begun. Whatever
-    is kept under this name is of one start only.
+    Failure: an upstream restarts under the same name. Symptom: state of the
+    previous incarnation (load, speed, cached prompts, failures) is applied to
+    the new one. State that is kept under this id belongs to one incarnation
+    only.
+
+    Parameters
+    ----------
+    registration
+        Name under which the upstream is registered.
+    started
+        Time of its start since the Unix epoch; zero if it states none.
+
+    Returns
+    -------
+    UpstreamId
+        The name alone if the start is not stated.
     """
     if not started:
         return UpstreamId(registration)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -253,7 +253,7 @@
     Mutation(
         'an entry of an earlier start changes nothing',
         'fleet/fleet.py',
-        'if upstream.started < self._starts.get(name, upstream.started):',
+        'if upstream.started < self._last_starts.get(name, upstream.started):',
         'if False:',
         _INCARNATIONS,
     ),
@@ -446,22 +446,22 @@
     Mutation(
         'a request under which upstreams ended rests',
         'fleet/quarantine.py',
-        '        beyond = self.strikes(fingerprint) - least\n',
-        '        beyond = -1\n',
+        '        excess = self.strikes(fingerprint) - least\n',
+        '        excess = -1\n',
         _CRASHES,
     ),
     Mutation(
         'upstreams that end at once are one link of a chain',
         'fleet/quarantine.py',
         'max(strike.before + 1, strike.number)',
-        'len(counting)',
+        'len(of_request)',
         _CRASHES,
     ),
     Mutation(
         'ends in turn of a request that was at all upstreams are counted',
         'fleet/quarantine.py',
-        'number = max(strikes, 1) if at_once else strikes + 1',
-        'number = int(not at_once)',
+        'number = max(strikes, 1) if has_common_cause else strikes + 1',
+        'number = int(not has_common_cause)',
         'fleet_quarantine',
     ),
     Mutation(
@@ -474,8 +474,8 @@
     Mutation(
         'what ran beside has the shorter chain',
         'fleet/quarantine.py',
-        'return all(strike.before >= other.before for other in ran)',
-        'return bool(ran)',
+        'return all(strike.before >= other.before for other in at_upstream)',
+        'return bool(at_upstream)',
         'fleet_quarantine',
     ),
     Mutation(
