--- a/bergamotdoor/calls/__init__.py
+++ b/bergamotdoor/calls/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions about plain requests: routes, attempts, refusals."""
+"""Decisions about plain requests: routing, attempts and admission."""
 
 from __future__ import annotations
--- a/bergamotdoor/calls/accounts.py
+++ b/bergamotdoor/calls/accounts.py
@@ -1,6 +1,6 @@
-"""Client accounts: whose request it is, by the key that it bears.
+"""Authentication of requests: client accounts and their API keys.
 
-Decisions only: no input or output, and the age of the manifest is passed in.
+This module does no I/O; the age of the manifest is passed in.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: A hash of a key. Keys themselves are kept nowhere.
+#: Hash of an API key. The keys themselves are not stored.
 KeyDigest = NewType('KeyDigest', bytes)
-#: No account: a public route, or a manifest without accounts.
+#: Stands for no account: on a public route, or if the manifest has none.
 NO_ACCOUNT: Final = AccountId('')
-#: Covers the difference of two VMs' clock rates, and a watch that the store
-#: ends somewhat before its time.
+#: Covers the difference between the clock rates of two VMs, and a watch that
+#: the store ends somewhat early.
 _PROOF_MARGIN_MS: Final = 250
 _PROOF_MARGIN: Final = dt.timedelta(milliseconds=_PROOF_MARGIN_MS)
 
 
 class AccountKeys(msgspec.Struct, frozen=True):
-    """A client account and the digests of the keys that it holds."""
+    """A client account and the digests of its API keys."""
 
     account: AccountId
     keys: tuple[KeyDigest, ...]
 
 
 class Denial(enum.Enum):
-    """Why a request is not admitted."""
+    """Reason for which a request is not admitted."""
 
     NO_KEY = 'no key'
     UNKNOWN_KEY = 'a key that no account holds'
@@ -43,27 +43,28 @@
 
 
 class Credentials(msgspec.Struct, frozen=True):
-    """What a request says of who sends it; the keys themselves are gone."""
+    """Credentials of a request, with digests in place of the keys."""
 
     keys: tuple[KeyDigest, ...] = ()
-    #: Whether it has credentials that are no key.
+    #: Whether the request has credentials that are not valid as API keys.
     unreadable: bool = False
 
 
 class Accounts:
-    """The client accounts of one manifest; immutable.
+    """Client accounts of one manifest; immutable.
 
     Parameters
     ----------
     held
-        All accounts and their keys.
+        All client accounts with their keys.
     """
 
     def __init__(self, held: Iterable[AccountKeys] = ()) -> None:
         known = tuple(held)
-        #: An account that has lost all its keys is one nevertheless.
+        #: Whether requests need a key. This is so even if no account has a
+        #: key left.
         self._in_force = bool(known)
-        self._holders = {
+        self._accounts = {
             digest: one.account for one in known for digest in one.keys
         }
 
@@ -74,61 +75,70 @@
     def identify(
         self, credentials: Credentials, public: bool
     ) -> AccountId | Denial:
-        """Return the account that a request is of.
+        """Return the client account that a request belongs to.
 
         Parameters
         ----------
         credentials
-            What the request says.
+            Credentials of the request.
         public
-            Whether its route takes requests without a key. One that bears a
-            key is its holder's there, too.
+            Whether the request's route admits requests without a key. A
+            request with a valid key belongs to the key's account there, too.
 
         Returns
         -------
         AccountId or Denial
-            ``NO_ACCOUNT`` where none is needed.
+            ``NO_ACCOUNT`` if the request needs no key and has no valid one.
         """
         if not self._in_force:
             return NO_ACCOUNT
-        found = self._holder(credentials)
+        found = self._find_account(credentials)
         if isinstance(found, Denial) and public:
             return NO_ACCOUNT
         return found
 
     def may_see(self, account: AccountId, owner: AccountId) -> bool:
-        """Return whether an account may see what belongs to an owner."""
+        """Return whether an account may read what belongs to `owner`."""
         return not self._in_force or owner in {account, NO_ACCOUNT}
 
-    def _holder(self, credentials: Credentials) -> AccountId | Denial:
+    def _find_account(self, credentials: Credentials) -> AccountId | Denial:
         if len(credentials.keys) > 1:
             return Denial.SEVERAL_KEYS
         if credentials.unreadable:
             return Denial.UNKNOWN_KEY
         if not credentials.keys:
             return Denial.NO_KEY
-        return self._holders.get(credentials.keys[0], Denial.UNKNOWN_KEY)
+        return self._accounts.get(credentials.keys[0], Denial.UNKNOWN_KEY)
 
 
 class ProofBound(msgspec.Struct, frozen=True):
-    """For how long a manifest may be used without a new proof.
-
-    Load pattern: keys are taken away while some entries are cut off, paused
-    or hear nothing of the store. A request that a client sent later than
-    ``revocation`` after that must not run. Whoever admits it compares the
-    moment at which the manifest was known to be current with the present
-    one: the client sent it before the present, so a proof that is younger
-    than the bound covers it, however long it waits or is retried afterwards.
+    """Maximum age of a manifest by which requests are admitted.
+
+    API keys are revoked while some entry processes are partitioned, paused or
+    get no changes from the store. A request that a client sends later than
+    `revocation` after its key was revoked must not run. At admission, the time
+    at which the manifest was last known to be current (its proof) is compared
+    with the present. The client sent the request before the present, so a
+    proof that is younger than the bound covers the request, however long it
+    waits or is retried afterwards.
     """
 
-    #: None where a revoked key may run until the manifest is known.
+    #: Time within which a revoked key must stop working; ``None`` if it may
+    #: be used until the new manifest is known.
     revocation: dt.timedelta | None = None
 
     def holds(self, proven_at: dt.timedelta, now: dt.timedelta) -> bool:
-        """Return whether a proof of one moment is good at another.
+        """Return whether the proof of a manifest is recent enough.
 
-        Both are in time since the machine's start, which counts what it was
-        suspended for.
+        Both times are measured since the machine's start, including the time
+        for which the machine was suspended.
+
+        Parameters
+        ----------
+        proven_at
+            When the manifest was last known to be current.
+        now
+            The present.
         """
         if self.revocation is None:
             return True
@@ -136,9 +146,9 @@
 
 
 def digest_of(key: str) -> KeyDigest:
-    """Return a key's digest.
+    """Return the digest of an API key.
 
-    Keys are looked up by it, so that the time which that takes tells nothing
-    of keys that are near.
+    Keys are looked up by their digests, so that the duration of a lookup
+    reveals nothing about similar keys.
     """
     return KeyDigest(hashlib.sha256(key.encode(errors='replace')).digest())
--- a/bergamotdoor/calls/fingerprint.py
+++ b/bergamotdoor/calls/fingerprint.py
@@ -1,4 +1,4 @@
-"""Tells a request that comes again from any other."""
+"""Fingerprints, by which a repeated request is recognized."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 def fingerprint(
     action: str, host: str, target: str, body: bytes
 ) -> Fingerprint:
-    """Return what stays the same when a request comes again.
+    """Return a hash that is the same for every repetition of a request.
 
-    Each attempt of a caller bears a new id, and may come to any entry. What
-    an upstream makes of a request depends on what it asks for.
+    Each attempt of a caller has a new request id and may arrive at any entry
+    process, so the hash covers only what an upstream is requested to do.
 
     Parameters
     ----------
     action
-        The method, or what else tells it from requests that look alike.
+        The method, or another word that distinguishes the request from
+        requests with the same host, target and body.
     host, target
-        Of the request's head.
+        The request's host, and its path with the query.
     body
-        The whole body.
+        The whole request body.
 
     Examples
     --------
@@ -31,7 +32,8 @@
     """
     digest = xxhash.xxh3_128()
     for part in (action.encode(), host.encode(), target.encode(), body):
-        # The length in front keeps parts from running into each other.
+        # Each part is prefixed with its length, so that different parts never
+        # form the same input.
         digest.update(b'%d:' % len(part))
         digest.update(part)
     return Fingerprint(digest.hexdigest())
--- a/bergamotdoor/calls/manifest.py
+++ b/bergamotdoor/calls/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: which request goes to which service, and by what rules."""
+"""The operator's manifest: routes, services, limits and client accounts."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Before any manifest is known: what the platform's clients may send.
-_HEADER_BYTES: Final = 32_768
-_BODY_BYTES: Final = 33_554_432
-_HEADER_S: Final = 10
-_IDLE_S: Final = 75
+#: Limits of the platform's clients; they apply before a manifest is known.
+_DEFAULT_MAX_HEADER_BYTES: Final = 32_768
+_DEFAULT_MAX_BODY_BYTES: Final = 33_554_432
+_DEFAULT_HEADER_TIMEOUT_S: Final = 10
+_DEFAULT_IDLE_TIMEOUT_S: Final = 75
 
 
 class RouteKind(enum.Enum):
-    """What may be done with the requests of a route."""
+    """How the requests of a route may be executed."""
 
-    #: May run more than once.
+    #: A request may run more than once.
     IDEMPOTENT = 'idempotent'
-    #: May run once at most.
+    #: A request may run at most once.
     ONCE = 'once'
-    #: The answer is a stream of events.
+    #: The response is a stream of events.
     STREAM = 'stream'
-    #: Batch jobs.
+    #: The requests are batch jobs.
     BATCH = 'batch'
 
 
@@ -38,6 +38,7 @@
     """A service's share of a route's requests."""
 
     service: ServiceId
+    #: Relative to the sum of the weights of the route's shares.
     weight: float
 
 
@@ -50,53 +51,57 @@
     kind: RouteKind
     shares: tuple[Share, ...]
     timeout: dt.timedelta
-    #: Within which an answer is worth most.
+    #: Target latency; a response within it is worth most to the caller.
     objective: dt.timedelta
-    #: How many upstreams one request may be sent to.
+    #: Maximum number of upstreams that may run one request.
     max_attempts: int = 1
-    #: A stream may go on at another upstream.
+    #: Whether another upstream can continue an interrupted stream.
     resumable: bool = False
-    #: Batch jobs: results are due this long after the first submission.
+    #: Batch jobs: time from the first submission until the results are due.
     due: dt.timedelta = dt.timedelta()
-    #: Batch jobs: an item may be given up after this long; None is never.
+    #: Batch jobs: time after which unfinished items may be abandoned;
+    #: ``None`` if they must not be.
     give_up: dt.timedelta | None = None
-    #: Batch jobs: one version generates the whole text of an item.
+    #: Batch jobs: whether one version of the weights must generate the whole
+    #: text of an item.
     single_version: bool = False
-    #: Callers need no key.
+    #: Whether requests without an API key are admitted.
     public: bool = False
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bounds on what callers may send, and how slowly."""
+    """Limits on the size of callers' requests, and on idle time."""
 
-    max_header_bytes: int = _HEADER_BYTES
-    max_body_bytes: int = _BODY_BYTES
-    header_timeout: dt.timedelta = dt.timedelta(seconds=_HEADER_S)
-    idle_timeout: dt.timedelta = dt.timedelta(seconds=_IDLE_S)
+    max_header_bytes: int = _DEFAULT_MAX_HEADER_BYTES
+    max_body_bytes: int = _DEFAULT_MAX_BODY_BYTES
+    header_timeout: dt.timedelta = dt.timedelta(
+        seconds=_DEFAULT_HEADER_TIMEOUT_S
+    )
+    idle_timeout: dt.timedelta = dt.timedelta(seconds=_DEFAULT_IDLE_TIMEOUT_S)
 
 
 class ServiceRules(msgspec.Struct, frozen=True):
-    """What the operator says of one service."""
+    """Rules of the operator for one service."""
 
     max_connections: int
     health_path: str
 
 
 class Manifest:
-    """One version of the manifest; immutable.
+    """One generation of the manifest; immutable.
 
     Parameters
     ----------
     generation
-        Its version; only grows.
+        Version number of the manifest; it only grows.
     routes
         All routes.
     services
         Rules by service.
     limits
-        Bounds on callers.
+        Limits on callers' requests.
     accounts
-        Who may ask.
+        Client accounts; ``None`` if requests need no key.
     """
 
     def __init__(
@@ -111,16 +116,31 @@
         self.services = services
         self.limits = limits
         self.accounts = accounts or Accounts()
-        self._by_host: dict[str, list[Route]] = {}
+        self._routes_by_host: dict[str, list[Route]] = {}
         for route in routes:
-            self._by_host.setdefault(route.host, []).append(route)
-        for listed in self._by_host.values():
+            self._routes_by_host.setdefault(route.host, []).append(route)
+        for listed in self._routes_by_host.values():
             listed.sort(key=_prefix_length, reverse=True)
 
     def match(self, host: str, target: str) -> Route | None:
-        """Return the route of the longest prefix, None if none fits."""
+        """Return the route with the longest matching path prefix.
+
+        Parameters
+        ----------
+        host
+            The request's host; case and port are ignored.
+        target
+            The request's path, with or without a query.
+
+        Returns
+        -------
+        Route or None
+            ``None`` if no route matches.
+        """
         path = target.partition('?')[0]
-        candidates = self._by_host.get(host.partition(':')[0].lower(), ())
+        candidates = self._routes_by_host.get(
+            host.partition(':')[0].lower(), ()
+        )
         return next(
             (
                 route
@@ -131,14 +151,25 @@
         )
 
     def serves_jobs_publicly(self, host: str) -> bool:
-        """Return whether a host's batch jobs are all open to everyone."""
-        routes = self._by_host.get(host.partition(':')[0].lower(), ())
+        """Return whether all of a host's batch routes need no key.
+
+        False if the host has no batch route.
+        """
+        routes = self._routes_by_host.get(host.partition(':')[0].lower(), ())
         batch = [one for one in routes if one.kind is RouteKind.BATCH]
         return bool(batch) and all(route.public for route in batch)
 
 
 def pick_service(route: Route, draw: float) -> ServiceId:
-    """Return the service that a draw from [0, 1) falls to."""
+    """Return a service of a route, chosen by the weights of the shares.
+
+    Parameters
+    ----------
+    route
+        The route.
+    draw
+        Random number in [0, 1).
+    """
     total = sum(share.weight for share in route.shares)
     point = draw * total
     for share in route.shares:
--- a/bergamotdoor/calls/tries.py
+++ b/bergamotdoor/calls/tries.py
@@ -1,11 +1,12 @@
-"""Which upstreams are asked for one call, when, and how often.
-
-Load pattern: a trickle of callers that wait a few hundred milliseconds,
-beside bursts of scoring calls, before a handful of upstreams of which some
-are slow, full, broken or gone. The upstream that is expected to answer first
-is asked. Where a call may be repeated, a second one is asked beside one that
-is slow; where it may not, another one is asked only after an upstream's own
-word that it ran nothing.
+"""Attempts of one call: which upstreams it is sent to, when and how often.
+
+Load pattern: a trickle of callers that wait for a few hundred milliseconds,
+beside bursts of scoring calls, in front of a handful of upstreams of which
+some are slow, full, broken or gone. A call is sent to the upstream that is
+expected to answer first. An idempotent call is hedged: if the first upstream
+is slow, the call is sent to a second one as well. A call that may run at most
+once is sent to another upstream only after the first has stated that it did
+not run the call.
 """
 
 from __future__ import annotations
@@ -27,42 +28,45 @@
     from bergamotdoor.fleet.upstreams import Upstream
     from bergamotdoor.types import UpstreamId, ZoneId
 
-#: The share of the objective after which a second upstream is asked. By
-#: then nine in ten have answered, and enough is left for the second one.
+#: Share of the route's target latency after which a call is hedged. By then
+#: nine in ten calls are answered, and enough time is left for the second
+#: upstream.
 HEDGE_SHARE: Final = 0.55
-#: A score call waits for an upstream at least so long: four usual answers.
-_SCORE_PATIENCE_MS: Final = 200
-_SCORE_PATIENCE: Final = dt.timedelta(milliseconds=_SCORE_PATIENCE_MS)
-#: Of the time left, kept to tell the caller of a failure in time.
+#: Minimum hedge delay of a scoring call: four times the usual latency.
+_MIN_SCORE_DELAY_MS: Final = 200
+_MIN_SCORE_DELAY: Final = dt.timedelta(milliseconds=_MIN_SCORE_DELAY_MS)
+#: Part of the remaining time that is reserved to report a failure to the
+#: caller before its deadline.
 _ANSWER_MARGIN_MS: Final = 20
 _ANSWER_MARGIN: Final = dt.timedelta(milliseconds=_ANSWER_MARGIN_MS)
-#: Which of a call's upstreams are asked at the most, refusals too.
-_MOST_TRIES: Final = 6
+#: Maximum number of upstreams that a call is sent to, refusals included.
+_MAX_TRIES: Final = 6
 _NO_TIME: Final = dt.timedelta()
 
 
 class CallRules(msgspec.Struct, frozen=True):
-    """What may be done for one call."""
+    """Rules for the attempts of one call."""
 
-    #: May run at more than one upstream.
+    #: Whether more than one upstream may run the call.
     repeatable: bool
-    #: Runs alike wherever and however often: a second upstream may be asked
-    #: beside one that has not answered, and kept connections may be used.
+    #: Whether the call has the same effect wherever and however often it
+    #: runs. It may then be hedged, and sent over kept-alive connections.
     idempotent: bool
-    #: How many upstreams may run it.
+    #: Maximum number of upstreams that may run the call.
     max_attempts: int
-    #: How long an upstream is waited for alone.
+    #: Hedge delay: time after which another upstream is tried beside one that
+    #: has not answered.
     patience: dt.timedelta
-    #: When the caller stops waiting, in the clock's time.
+    #: Monotonic time at which the caller stops waiting.
     deadline: dt.timedelta
 
     @classmethod
     def of_caller(cls, route: Route, deadline: dt.timedelta) -> CallRules:
-        """Return what a caller's route allows."""
+        """Return the rules for a caller's call on a route."""
         kind = route.kind
-        resumes = kind is RouteKind.STREAM and route.resumable
+        is_resumable = kind is RouteKind.STREAM and route.resumable
         return cls(
-            repeatable=resumes or kind is RouteKind.IDEMPOTENT,
+            repeatable=is_resumable or kind is RouteKind.IDEMPOTENT,
             idempotent=kind is RouteKind.IDEMPOTENT,
             max_attempts=route.max_attempts,
             patience=route.objective * HEDGE_SHARE,
@@ -71,104 +75,114 @@
 
     @classmethod
     def of_score(cls, route: Route, deadline: dt.timedelta) -> CallRules:
-        """Return what may be done for a score call.
+        """Return the rules for a scoring call on a route.
 
-        It may be repeated whatever its route says of callers' calls. A step
-        can wait for longer than a caller, so a second upstream is asked
-        later: a service that is busy with a step's calls would otherwise
-        get a part of them twice.
+        A scoring call is idempotent whatever the kind of its route. It is
+        hedged later than a caller's call, since a step can wait for longer
+        than a caller: a service that is busy with the scoring calls of a step
+        would otherwise get some of them twice.
         """
         return cls(
             repeatable=True,
             idempotent=True,
             max_attempts=route.max_attempts,
-            patience=max(route.objective, _SCORE_PATIENCE),
+            patience=max(route.objective, _MIN_SCORE_DELAY),
             deadline=deadline,
         )
 
 
 class Tries:
-    """The upstreams that were asked for one call, and what they made of it.
+    """Attempts of one call at upstreams, and their outcomes.
 
     Parameters
     ----------
     rules
-        What may be done for the call.
+        Rules for the attempts.
     zone
-        The availability zone from which it is sent.
+        Availability zone of this process.
     """
 
     def __init__(self, rules: CallRules, zone: ZoneId) -> None:
         self._rules = rules
         self._zone = zone
-        self._asked: set[UpstreamId] = set()
-        #: How many upstreams ended under the call in a chain, here or
-        #: where it came before.
+        #: Upstreams that the call was sent to.
+        self._tried: set[UpstreamId] = set()
+        #: Number of upstreams that crashed in a chain while they ran the
+        #: call, or an earlier request with the same fingerprint.
         self.strikes = 0
-        #: Upstreams that have not answered yet.
+        #: Number of attempts in flight.
         self.running = 0
-        #: Upstreams that may have run it, of those that ended.
+        #: Number of ended attempts that may have run the call.
         self.ran = 0
 
     def begin(
         self, upstreams: Iterable[Upstream], loads: Loads, now: dt.timedelta
     ) -> Upstream | None:
-        """Return the upstream to ask now; None if none should be.
+        """Begin an attempt and return the upstream to send the call to.
 
         Parameters
         ----------
         upstreams
-            Those of the call's service that take new work.
+            Upstreams of the call's service that accept new requests.
         loads
-            How full and how well they are.
+            Load and latency of each upstream.
         now
             The monotonic time.
+
+        Returns
+        -------
+        Upstream or None
+            ``None`` if no attempt may begin now, or no upstream is left.
         """
         if not self.may_begin(now):
             return None
         candidates = (
-            one for one in upstreams if one.upstream not in self._asked
+            one for one in upstreams if one.upstream not in self._tried
         )
         upstream = fastest(candidates, loads, self._zone, now)
         if upstream is not None:
-            self._asked.add(upstream.upstream)
+            self._tried.add(upstream.upstream)
             self.running += 1
         return upstream
 
     def end(self, verdict: Verdict) -> None:
-        """Take what became of one that was asked."""
+        """Record the outcome of an attempt that has ended."""
         self.running -= 1
         if verdict is not Verdict.NOT_RUN:
             self.ran += 1
 
     def may_begin(self, now: dt.timedelta) -> bool:
-        """Return whether another upstream may be asked."""
+        """Return whether another attempt may begin."""
         rules = self._rules
-        if len(self._asked) >= _MOST_TRIES or self.out_of_time(now):
+        if len(self._tried) >= _MAX_TRIES or self.out_of_time(now):
             return False
         if self.running and (self.strikes or not rules.idempotent):
-            # One that may end upstreams is at one of them at a time.
+            # A call that may crash upstreams runs at one of them at a time.
             return False
         if not rules.repeatable and (self.ran or self.running):
             return False
         return self.ran + self.running < rules.max_attempts
 
     def patience(self, now: dt.timedelta) -> dt.timedelta:
-        """Return how long to wait for those that are asked."""
+        """Return how long to wait for the attempts in flight.
+
+        The hedge delay if another attempt may begin after it, the time left
+        otherwise.
+        """
         left = max(self.left(now), _NO_TIME)
         return min(left, self._rules.patience) if self.may_begin(now) else left
 
     def left(self, now: dt.timedelta) -> dt.timedelta:
-        """Return how long an upstream may work on the call."""
+        """Return the time that is left for an upstream to answer."""
         return self._rules.deadline - now - _ANSWER_MARGIN
 
     def out_of_time(self, now: dt.timedelta) -> bool:
-        """Return whether no upstream could answer in time any more."""
+        """Return whether it is too late for an upstream to answer."""
         return self.left(now) <= _NO_TIME
 
     @property
     def verdict(self) -> Verdict:
-        """Whether the call may have run, where no answer came."""
+        """Whether the call may have run, if no upstream answers it."""
         if self.ran or self.running:
             return Verdict.MAY_HAVE_RUN
         return Verdict.NOT_RUN
