--- a/bergamotdoor/duties/__init__.py
+++ b/bergamotdoor/duties/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions about work that one process at a time does for all."""
+"""Decisions about duties: work that one process at a time does for all."""
 
 from __future__ import annotations
--- a/bergamotdoor/duties/tenure.py
+++ b/bergamotdoor/duties/tenure.py
@@ -1,13 +1,14 @@
-"""Who does a duty, and until when it may go on with it.
+"""Lease of a duty: which process holds it, and until when it may act.
 
-Decisions only: no input or output, and the time is passed in.
+This module does no I/O; the time is passed in.
 
-A duty has one record in the store. Whoever acts replaces the record first, at
-the revision that it knows, and acts within a bounded time of the begin of that
-write, or not at all. Another process takes the duty over by the same write,
-once it has seen the record unchanged for longer than the holder may act. So
-the holder before is silent by then, whether it is paused, cut off or slow, and
-its next write fails.
+A duty has one record in the store. The holder replaces the record before it
+acts, on condition that the record still has the revision that the holder
+knows. It then begins to act within a bounded time from the start of that
+write, or not at all. Another process takes the duty over with the same
+conditional write, once it has seen the record unchanged for longer than the
+holder may act. The previous holder does not act any more by then, even if it
+is paused, partitioned or slow, and its next write fails.
 """
 
 from __future__ import annotations
@@ -20,60 +21,64 @@
 from bergamotdoor.duties.usage import UsageReport
 from bergamotdoor.types import FencingToken, NodeId, Revision, UsageWindow
 
-#: Of the platform's lease bound: how long a holder may begin to act after its
-#: write began. Its last call ends within the call's own timeout.
+#: Share of the lease within which a holder may begin to act, from the start
+#: of its write. Its last call ends within the timeout of that call.
 _ACTING_SHARE: Final = 0.7
-#: The same: how long the record must have been unchanged before another
-#: process takes it. Holders then do not take turns within the bound either.
+#: Share of the lease for which the record must have been unchanged before
+#: another process takes the duty over. It is above 1, so that two holders do
+#: not alternate within the lease either.
 _QUIET_SHARE: Final = 1.4
 
 
 class DutyRecord(msgspec.Struct, frozen=True):
-    """Who does a duty, and what is decided and perhaps not done."""
+    """Stored record of a duty: its holder, and the decided reports."""
 
+    #: The process that holds the duty.
     holder: NodeId
-    #: Raised by each takeover, also by a new process on the same VM.
+    #: Raised by each takeover, also if a new process on the same VM takes the
+    #: duty over.
     token: FencingToken
-    #: Drawn at each start of the holder's process.
+    #: Random id that is drawn at each start of the holder's process.
     boot: str
-    #: All windows below this one are decided.
+    #: The reports of all windows below this one are decided.
     decided_below: UsageWindow
-    #: Counts the holder's writes: one that changed nothing would leave the
-    #: record's revision, and the others would take it for unchanged.
+    #: Number of writes by holders. Without it, a write that changes nothing
+    #: would keep the record's revision, and the other processes would take
+    #: the record for unchanged.
     writes: int = 0
-    #: Decided, and not known to have been received.
+    #: Reports that are decided, but not known to be received.
     reports: tuple[UsageReport, ...] = ()
 
 
 class KnownRecord(msgspec.Struct, frozen=True):
-    """A duty's record as this process knows it."""
+    """Record of a duty, as far as this process knows it."""
 
     record: DutyRecord
     revision: Revision
-    #: Since when it is known to be unchanged, in time since the machine's
-    #: start.
+    #: When this process first saw the record at this revision, measured since
+    #: the machine's start.
     seen_at: dt.timedelta
 
 
 class TenureBounds(msgspec.Struct, frozen=True):
-    """How long a holder may act, and the others must wait."""
+    """Time for which a holder may act, and other processes have to wait."""
 
-    #: Two holders must not take turns within this.
+    #: Time within which the duty must not alternate between two holders.
     lease: dt.timedelta
 
     @property
     def acting(self) -> dt.timedelta:
-        """How long after the begin of its write a holder begins to act."""
+        """Time within which a holder may act, from the start of its write."""
         return self.lease * _ACTING_SHARE
 
     @property
     def call_timeout(self) -> dt.timedelta:
-        """How long one act may take."""
+        """Timeout of a call that a holder makes when it acts."""
         return (self.quiet - self.acting) / 2
 
     @property
     def quiet(self) -> dt.timedelta:
-        """How long a record is unchanged before another process takes it."""
+        """Time for which a record is unchanged before it is taken over."""
         return self.lease * _QUIET_SHARE
 
     def may_act(self, written_at: dt.timedelta, now: dt.timedelta) -> bool:
@@ -82,19 +87,40 @@
         Parameters
         ----------
         written_at
-            When its last write that was done began.
+            When the holder's last successful write began, measured since the
+            machine's start.
         now
-            The time since the machine's start, as `written_at`.
+            The present, measured since the machine's start.
         """
         return now - written_at < self.acting
 
     def may_take(self, known: KnownRecord, now: dt.timedelta) -> bool:
-        """Return whether another process may take the duty over."""
+        """Return whether another process may take the duty over.
+
+        Parameters
+        ----------
+        known
+            The record as that process knows it.
+        now
+            The present, measured since the machine's start.
+        """
         return now - known.seen_at >= self.quiet
 
 
 def taken_over(known: DutyRecord, node: NodeId, boot: str) -> DutyRecord:
-    """Return the record of the next holder; what was decided stays so."""
+    """Return the record with which a process takes a duty over.
+
+    The new holder keeps what the previous holder has decided.
+
+    Parameters
+    ----------
+    known
+        The record of the previous holder.
+    node
+        The new holder.
+    boot
+        Random id of the new holder's process.
+    """
     return msgspec.structs.replace(
         known, holder=node, token=FencingToken(known.token + 1), boot=boot
     )
--- a/bergamotdoor/duties/true_time.py
+++ b/bergamotdoor/duties/true_time.py
@@ -1,4 +1,4 @@
-"""True time, for windows that all processes must cut alike."""
+"""Wall time without clock jumps, for windows that all processes share."""
 
 from __future__ import annotations
 
@@ -7,52 +7,56 @@
 
 from bergamotdoor.duties.usage import UNIX_EPOCH
 
-#: A wall clock that is set by more than this at once has jumped, or jumped
-#: back. Its drift against the steady clock is far smaller.
-_JUMP_MS: Final = 300
-_JUMP: Final = dt.timedelta(milliseconds=_JUMP_MS)
-#: How long a jump must last until it is taken for the truth.
-_LASTING_S: Final = 60
-_LASTING: Final = dt.timedelta(seconds=_LASTING_S)
+#: Change of the wall clock's offset that counts as a jump. Its drift against
+#: the monotonic clock is far smaller.
+_MIN_JUMP_MS: Final = 300
+_MIN_JUMP: Final = dt.timedelta(milliseconds=_MIN_JUMP_MS)
+#: Time for which a jump must last until the new wall time is accepted.
+_ACCEPT_JUMP_AFTER_S: Final = 60
+_ACCEPT_JUMP_AFTER: Final = dt.timedelta(seconds=_ACCEPT_JUMP_AFTER_S)
 
 
 class TrueTime:
-    """Follows the wall clock, but for its jumps.
+    """Wall time that ignores short jumps of the wall clock.
 
-    Load pattern: a VM's time of day jumps by seconds, and back again some
-    seconds later. Requests would be counted in another window meanwhile. The
-    clock that counts from the machine's start does not jump, so the distance
-    of the two tells a jump from time that passes, also while the machine is
-    suspended.
+    The wall clock of a VM may jump by seconds, and back some seconds later.
+    Requests would be counted in the wrong window meanwhile. The clock that
+    counts from the machine's start does not jump, and it includes the time
+    for which the machine is suspended. The offset between the two clocks
+    therefore distinguishes a jump from time that has passed.
     """
 
     def __init__(self) -> None:
-        self._distance: dt.timedelta | None = None
+        #: Accepted offset of the wall clock; ``None`` before the first read.
+        self._offset: dt.timedelta | None = None
+        #: Time since the machine's start at which the wall clock jumped;
+        #: ``None`` if there is no pending jump.
         self._jumped_at: dt.timedelta | None = None
 
     def read(self, wall: dt.datetime, uptime: dt.timedelta) -> dt.datetime:
-        """Return the true time.
+        """Return the corrected wall time.
 
         Parameters
         ----------
         wall
-            What the wall clock says.
+            Present time of the wall clock.
         uptime
-            The time since the machine's start.
+            Present time since the machine's start.
         """
-        distance = wall - UNIX_EPOCH - uptime
-        if self._distance is None or self._believes(distance, uptime):
-            self._distance = distance
-        return UNIX_EPOCH + uptime + self._distance
-
-    def _believes(self, distance: dt.timedelta, uptime: dt.timedelta) -> bool:
-        assert self._distance is not None
-        if abs(distance - self._distance) < _JUMP:
+        offset = wall - UNIX_EPOCH - uptime
+        if self._offset is None or self._accepts(offset, uptime):
+            self._offset = offset
+        return UNIX_EPOCH + uptime + self._offset
+
+    def _accepts(self, offset: dt.timedelta, uptime: dt.timedelta) -> bool:
+        """Return whether an offset is not a jump, or a jump that has lasted."""
+        assert self._offset is not None
+        if abs(offset - self._offset) < _MIN_JUMP:
             self._jumped_at = None
             return True
         if self._jumped_at is None:
             self._jumped_at = uptime
-        lasting = uptime - self._jumped_at >= _LASTING
-        if lasting:
+        has_lasted = uptime - self._jumped_at >= _ACCEPT_JUMP_AFTER
+        if has_lasted:
             self._jumped_at = None
-        return lasting
+        return has_lasted
--- a/bergamotdoor/duties/usage.py
+++ b/bergamotdoor/duties/usage.py
@@ -1,4 +1,4 @@
-"""How many requests of each client account began in each window of time."""
+"""Usage: how many requests of each client account began in each window."""
 
 from __future__ import annotations
 
@@ -11,133 +11,162 @@
 from bergamotdoor.types import AccountId, NodeId, UsageWindow
 
 UNIX_EPOCH: Final = dt.datetime.fromtimestamp(0, dt.UTC)
-#: Windows that are kept until they are reported: one minute and more of the
-#: usual five seconds, far behind the time at which a report is due.
-_MOST_WINDOWS: Final = 16
+#: Maximum number of windows that are kept until they are reported. With the
+#: usual windows of five seconds this is more than a minute, far longer than
+#: the time within which a report is due.
+_MAX_WINDOWS: Final = 16
 
 
 class UsageReport(msgspec.Struct, frozen=True):
-    """The requests of one window; decided once."""
+    """Request counts of one window; a report is decided only once."""
 
     window: UsageWindow
     counts: dict[AccountId, int]
 
 
 class EntryUsage(msgspec.Struct, frozen=True):
-    """What one entry has counted."""
+    """Request counts of one entry process."""
 
     node: NodeId
-    #: Drawn at each start of its process, which begins to count anew.
+    #: Random id that is drawn at each start of the process, which then begins
+    #: to count from zero.
     boot: str
     counts: dict[UsageWindow, dict[AccountId, int]]
-    #: All windows below this one are whole.
+    #: The counts of all windows below this one are final.
     whole_below: UsageWindow
 
 
 class Windows(msgspec.Struct, frozen=True):
-    """How time is cut into windows."""
+    """Division of time into windows of equal length."""
 
     length: dt.timedelta
 
     def at(self, moment: dt.datetime) -> UsageWindow:
-        """Return the window that holds a moment."""
+        """Return the window that contains a point in time."""
         return UsageWindow((moment - UNIX_EPOCH) // self.length)
 
     def end(self, window: UsageWindow) -> dt.datetime:
-        """Return when a window is over."""
+        """Return the end of a window."""
         return UNIX_EPOCH + (window + 1) * self.length
 
 
 class UsageTally:
-    """What this entry has counted and nobody has reported yet."""
+    """Request counts of this entry process that are not reported yet."""
 
     def __init__(self) -> None:
         self._counts: dict[UsageWindow, Counter[AccountId]] = {}
-        self._reported_below = UsageWindow(0)
+        #: The reports of all windows below this one are decided.
+        self._decided_below = UsageWindow(0)
 
     def add(self, account: AccountId, window: UsageWindow) -> None:
-        """Count a request that began to run."""
-        if window >= self._reported_below:
+        """Count a request that began to run in a window.
+
+        The request is not counted if the window's report is decided.
+        """
+        if window >= self._decided_below:
             self._counts.setdefault(window, Counter())[account] += 1
-        while len(self._counts) > _MOST_WINDOWS:
+        while len(self._counts) > _MAX_WINDOWS:
             del self._counts[min(self._counts)]
 
     def reported(self, below: UsageWindow) -> None:
-        """Forget windows whose reports are decided."""
-        self._reported_below = max(self._reported_below, below)
+        """Drop the counts of all windows below `below`.
+
+        Their reports are decided.
+        """
+        self._decided_below = max(self._decided_below, below)
         for window in tuple(self._counts):
             if window < below:
                 del self._counts[window]
 
     def counts(self) -> dict[UsageWindow, dict[AccountId, int]]:
-        """Return all that is counted."""
+        """Return the counts of all windows that are kept."""
         return {
             window: dict(counted) for window, counted in self._counts.items()
         }
 
 
 class UsageBook:
-    """What all entries have counted, as far as they told this one."""
+    """Request counts of all entry processes, as far as this one got them."""
 
     def __init__(self) -> None:
-        self._told: dict[tuple[NodeId, str], EntryUsage] = {}
-        self._heard_at: dict[NodeId, dt.timedelta] = {}
+        #: Counts by entry and by the boot id of its process.
+        self._usages: dict[tuple[NodeId, str], EntryUsage] = {}
+        #: When each entry's counts last arrived, since the machine's start.
+        self._updated_at: dict[NodeId, dt.timedelta] = {}
 
     def take(self, usage: EntryUsage, now: dt.timedelta) -> None:
-        """Take what an entry has counted; it tells all that is undecided."""
+        """Add or update the counts of an entry.
+
+        Parameters
+        ----------
+        usage
+            All counts of the entry whose reports are not decided. Counts that
+            are older than the known ones are ignored.
+        now
+            The present, measured since the machine's start.
+        """
         key = (usage.node, usage.boot)
-        known = self._told.get(key)
+        known = self._usages.get(key)
         if known is None or known.whole_below <= usage.whole_below:
-            self._told[key] = usage if known is None else _merged(known, usage)
-        self._heard_at[usage.node] = now
+            self._usages[key] = (
+                usage if known is None else _merge_counts(known, usage)
+            )
+        self._updated_at[usage.node] = now
 
     def reported(self, below: UsageWindow) -> None:
-        """Forget windows whose reports are decided."""
-        for key, usage in tuple(self._told.items()):
+        """Drop the counts of all windows below `below`.
+
+        Their reports are decided.
+        """
+        for key, usage in tuple(self._usages.items()):
             left = {
                 window: counts
                 for window, counts in usage.counts.items()
                 if window >= below
             }
-            if left or usage.whole_below > below - _MOST_WINDOWS:
-                self._told[key] = msgspec.structs.replace(usage, counts=left)
+            if left or usage.whole_below > below - _MAX_WINDOWS:
+                self._usages[key] = msgspec.structs.replace(usage, counts=left)
             else:
-                del self._told[key]
+                del self._usages[key]
 
     def counts(self, window: UsageWindow) -> dict[AccountId, int]:
-        """Return the requests of a window, over all entries."""
+        """Return the request counts of a window, summed over all entries."""
         total: Counter[AccountId] = Counter()
-        for usage in self._told.values():
+        for usage in self._usages.values():
             total.update(usage.counts.get(window, {}))
         return dict(total)
 
     def missing(
         self, window: UsageWindow, since: dt.timedelta
     ) -> frozenset[NodeId]:
-        """Return the entries whose count of a window may grow.
+        """Return the entries whose counts of a window may still grow.
 
         Parameters
         ----------
         window
-            Which one.
+            The window.
         since
-            Entries that told nothing since then are not waited for.
+            Time since the machine's start. Entries whose counts last arrived
+            before it are left out, since they are not waited for.
         """
-        alive = {node for node, at in self._heard_at.items() if at >= since}
+        alive = {node for node, at in self._updated_at.items() if at >= since}
         whole = {
             usage.node
-            for usage in self._told.values()
+            for usage in self._usages.values()
             if usage.whole_below > window
         }
         return frozenset(alive - whole)
 
     def alive(self, since: dt.timedelta) -> int:
-        """Return how many entries told something since then."""
-        return sum(at >= since for at in self._heard_at.values())
+        """Return the number of entries whose counts arrived since `since`."""
+        return sum(at >= since for at in self._updated_at.values())
+
 
+def _merge_counts(known: EntryUsage, usage: EntryUsage) -> EntryUsage:
+    """Return `usage` with the windows that only `known` has.
 
-def _merged(known: EntryUsage, usage: EntryUsage) -> EntryUsage:
-    """Keep counts that the entry has left out since, as too old."""
+    The entry leaves out windows that are too old for it to keep.
+    """
     return msgspec.structs.replace(
         usage, counts={**known.counts, **usage.counts}
     )
