--- a/features/crash_scenes.py
+++ b/features/crash_scenes.py
@@ -1,4 +1,4 @@
-"""What scenarios of requests under which upstreams end share."""
+"""Helpers for scenarios with requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -14,7 +14,22 @@
 
 
 class CrashPlan:
-    """A site where one request ends each upstream that runs it."""
+    """A scenario on a site where one request crashes each upstream.
+
+    Parameters
+    ----------
+    entries
+        Number of entry processes.
+    services
+        Number of plain services.
+
+    Attributes
+    ----------
+    engines
+        Number of engines.
+    act
+        Coroutine function that gets the started site; its result is returned.
+    """
 
     def __init__(self, entries: int, services: int = 3) -> None:
         self.entries = entries
@@ -33,17 +48,19 @@
 
 
 async def arrive(site: Site, entry: str, request: str) -> Any:
+    """Send the request that crashes upstreams, and return the reply."""
     return await site.ask(
         entry, 'POST', CRASHING, b'x', Request_Id=request, Deadline_Ms='1500'
     )
 
 
 def ended(site: Site) -> int:
+    """Return how often the plain services have crashed in all."""
     return sum(one.crashes.count for one in site.services.values())
 
 
 class Answer(NamedTuple):
-    """What came back, and how long it took."""
+    """Reply to a request, and the time until it arrived."""
 
     status: int
     retry_after_s: float
@@ -51,14 +68,24 @@
 
 
 async def answered(site: Site, entry: str, request: str) -> Answer:
+    """Send the request that crashes upstreams, and time the reply."""
     began = site.clock.elapsed()
     reply = await arrive(site, entry, request)
     took_s = (site.clock.elapsed() - began).total_seconds()
-    told = reply.headers.first('retry-after', '0')
-    return Answer(reply.status, float(told), took_s)
+    retry_after = reply.headers.first('retry-after', '0')
+    return Answer(reply.status, float(retry_after), took_s)
 
 
 async def ask_beside(site: Site, number: int, one: int) -> int:
+    """Send a slow, harmless request; return its status, 0 if unanswered.
+
+    Parameters
+    ----------
+    site
+        The site.
+    number, one
+        Two numbers that identify the request.
+    """
     reply = await site.ask(
         'entry-0',
         'POST',
--- a/features/fleet_scenes.py
+++ b/features/fleet_scenes.py
@@ -1,4 +1,4 @@
-"""Upstreams for scenarios about decisions, and engines with agents."""
+"""Helpers for scenarios about upstreams, and about engines with agents."""
 
 from __future__ import annotations
 
@@ -14,18 +14,28 @@
     from lab.upstreams import Engine
 
 ZONE = ZoneId('here')
-_PORT = 8100
+_FIRST_PORT = 8100
 
 
 def upstream(number: int, prefix: str = 'e', **fields: Any) -> Upstream:
-    """Return an upstream of four slots, as it registers."""
+    """Return an upstream of four slots, as its registration describes it.
+
+    Parameters
+    ----------
+    number
+        Number in its name, and its offset from the first port.
+    prefix
+        Beginning of its name.
+    **fields
+        Fields that differ from the defaults.
+    """
     name = f'{prefix}{number}'
     return Upstream(
         **{
             'upstream': UpstreamId(name),
             'registration': RegistrationId(name),
             'service': ServiceId('lm'),
-            'address': at(_PORT + number),
+            'address': at(_FIRST_PORT + number),
             'zone': ZONE,
             'slots': 4,
             **fields,
@@ -34,12 +44,12 @@
 
 
 def upstreams(count: int, prefix: str = 'e', **fields: Any) -> list[Upstream]:
-    """Return so many upstreams of one service."""
+    """Return `count` upstreams of one service."""
     return [upstream(number, prefix, **fields) for number in range(count)]
 
 
 async def with_agent(site: Site) -> Engine:
-    """Start an engine and its agent beside one entry."""
+    """Start one engine with its agent, and one entry process."""
     await site.start(engines=1, services=0, entries=1)
     engine = site.engines['engine-0']
     await site.add_agent('side-0', engine)
@@ -48,5 +58,5 @@
 
 
 def publish(site: Site, version: int) -> None:
-    """Name a version of the model's weights."""
+    """Publish a version of the model's weights."""
     site.store.put('versions', 'm', {'model': 'm', 'version': version})
--- a/features/steps/calls_tries_steps.py
+++ b/features/steps/calls_tries_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decisions about one call."""
+"""Steps for the attempts of one call."""
 
 from __future__ import annotations
 
@@ -28,16 +28,18 @@
 
 
 class Event(NamedTuple):
-    """What happens next: time passes, and maybe one that was asked ends."""
+    """One event of a history: perhaps an attempt ends, then time passes."""
 
     passes_ms: int
+    #: How an attempt in flight ends; ``None`` if none ends.
     verdict: Verdict | None
 
 
-draws = hypothesis.strategies
-EVENTS = draws.lists(
-    draws.tuples(
-        draws.integers(0, 200), draws.sampled_from([None, *Verdict])
+strategies = hypothesis.strategies
+EVENTS = strategies.lists(
+    strategies.tuples(
+        strategies.integers(0, 200),
+        strategies.sampled_from([None, *Verdict]),
     ).map(lambda drawn: Event(*drawn)),
     max_size=20,
 )
@@ -46,20 +48,20 @@
 def check_history(
     repeatable: bool, max_attempts: int, count: int, events: list[Event]
 ) -> None:
-    """Play one history; a call is asked for whenever it may be."""
+    """Check one history, with an attempt begun whenever it is allowed."""
     tries = Tries(rules(repeatable, max_attempts), ZONE)
     loads = Loads()
     now = NOW
-    asked: list[str] = []
+    tried: list[str] = []
     running = 0
     ran = 0
     for event in events:
         upstream = tries.begin(upstreams(count), loads, now)
         if upstream is not None:
-            assert upstream.upstream not in asked, asked
+            assert upstream.upstream not in tried, tried
             assert now < DEADLINE
             assert repeatable or (not ran and not running)
-            asked.append(upstream.upstream)
+            tried.append(upstream.upstream)
             running += 1
         assert running + ran <= max_attempts
         assert tries.patience(now) >= dt.timedelta()
@@ -67,61 +69,61 @@
             tries.end(event.verdict)
             running -= 1
             ran += event.verdict is not Verdict.NOT_RUN
-        clear = not ran and not running
-        assert (tries.verdict is Verdict.NOT_RUN) == clear
+        has_not_run = not ran and not running
+        assert (tries.verdict is Verdict.NOT_RUN) == has_not_run
         now += dt.timedelta(milliseconds=event.passes_ms)
 
 
 @then('{count:d} histories of a call keep to the rules of its route')
-def histories(context: Any, count: int) -> None:
+def check_histories(context: Any, count: int) -> None:
     settings = hypothesis.settings(
         derandomize=True, max_examples=count, deadline=None, database=None
     )
     settings(
         hypothesis.given(
-            draws.booleans(),
-            draws.integers(1, 4),
-            draws.integers(0, 5),
+            strategies.booleans(),
+            strategies.integers(1, 4),
+            strategies.integers(0, 5),
             EVENTS,
         )(check_history)
     )()
 
 
-@given('two upstreams and a call with a patience of 100 ms')
-def two(context: Any) -> None:
+@given('two upstreams and a call with a hedge delay of 100 ms')
+def two_upstreams(context: Any) -> None:
     context.upstreams = upstreams(2)
 
 
-def begun(context: Any, repeatable: bool) -> Tries:
+def begin_first_attempt(context: Any, repeatable: bool) -> Tries:
     tries = Tries(rules(repeatable), ZONE)
     assert tries.begin(context.upstreams, Loads(), NOW) is not None
     return tries
 
 
-@then('a repeatable call waits 100 ms before it asks the second')
-def hedges(context: Any) -> None:
-    tries = begun(context, repeatable=True)
+@then('an idempotent call waits 100 ms before it is sent to the second')
+def check_hedge(context: Any) -> None:
+    tries = begin_first_attempt(context, repeatable=True)
     assert tries.patience(NOW) == dt.timedelta(milliseconds=100)
     assert tries.begin(context.upstreams, Loads(), NOW) is not None
 
 
 @then('a call that may run once waits for the first to its deadline')
-def waits(context: Any) -> None:
-    tries = begun(context, repeatable=False)
+def check_no_hedge(context: Any) -> None:
+    tries = begin_first_attempt(context, repeatable=False)
     assert tries.patience(NOW) == tries.left(NOW)
     assert tries.begin(context.upstreams, Loads(), NOW) is None
 
 
 @then('a call that may run once is sent on after a refusal')
-def sent_on(context: Any) -> None:
-    tries = begun(context, repeatable=False)
+def check_sent_on(context: Any) -> None:
+    tries = begin_first_attempt(context, repeatable=False)
     tries.end(Verdict.NOT_RUN)
     assert tries.begin(context.upstreams, Loads(), NOW) is not None
 
 
 @then('it is not sent on after a broken answer')
-def not_sent_on(context: Any) -> None:
-    tries = begun(context, repeatable=False)
+def check_not_sent_on(context: Any) -> None:
+    tries = begin_first_attempt(context, repeatable=False)
     tries.end(Verdict.MAY_HAVE_RUN)
     assert tries.begin(context.upstreams, Loads(), NOW) is None
     assert tries.verdict is Verdict.MAY_HAVE_RUN
--- a/features/steps/fleet_incarnations_steps.py
+++ b/features/steps/fleet_incarnations_steps.py
@@ -1,4 +1,4 @@
-"""Steps for upstreams that start again under their name."""
+"""Steps for upstreams that restart under the same name."""
 
 from __future__ import annotations
 
@@ -32,8 +32,10 @@
 NOW = dt.timedelta(seconds=50)
 
 
-def started(second: int, port: int = 8100, version: int = 1) -> Upstream:
-    start = dt.timedelta(seconds=second)
+def engine_started(
+    start_s: int, port: int = 8100, version: int = 1
+) -> Upstream:
+    start = dt.timedelta(seconds=start_s)
     return upstream(
         0,
         upstream=incarnation(NAME, start),
@@ -43,16 +45,16 @@
     )
 
 
-def in_use(fleet: Fleet) -> list[int]:
+def used_ports(fleet: Fleet) -> list[int]:
     return [one.address.port for one in fleet.of_service(SERVICE)]
 
 
-@given('an engine of which load, pace and weights are known')
-def known(context: Any) -> None:
+@given('an engine whose load, speed and weights are known')
+def known_engine(context: Any) -> None:
     context.loads = Loads()
     context.speeds = Speeds()
     context.fleet = Fleet((context.loads.forget, context.speeds.forget))
-    first = started(1)
+    first = engine_started(1)
     context.fleet.put(first)
     context.fleet.saw(first.upstream, MODEL, WeightVersion(7))
     load = context.loads.of(first.upstream)
@@ -66,14 +68,14 @@
 
 
 @when('it starts again under its name')
-def starts_again(context: Any) -> None:
-    context.second = started(2, version=3)
-    context.fleet.put(context.second)
+def restart_engine(context: Any) -> None:
+    context.restarted = engine_started(2, version=3)
+    context.fleet.put(context.restarted)
 
 
-@then('it is an engine of which nothing is known')
-def nothing_known(context: Any) -> None:
-    name = context.second.upstream
+@then('its load and speed are unknown')
+def check_unknown(context: Any) -> None:
+    name = context.restarted.upstream
     load = context.loads.of(name)
     assert load.in_flight == 0
     assert not load.resting(NOW)
@@ -82,71 +84,71 @@
 
 
 @then('it has the weights that it registers')
-def registers(context: Any) -> None:
-    assert context.fleet.version(context.second.upstream, MODEL) == 3
+def check_registered_weights(context: Any) -> None:
+    assert context.fleet.version(context.restarted.upstream, MODEL) == 3
 
 
 @given('an engine that has started again at another address')
-def moved(context: Any) -> None:
+def moved_engine(context: Any) -> None:
     context.fleet = Fleet()
-    context.fleet.put(started(1, 8100))
-    context.fleet.put(started(2, 8200))
+    context.fleet.put(engine_started(1, 8100))
+    context.fleet.put(engine_started(2, 8200))
 
 
-@when('the entry of its earlier start comes late')
-def late(context: Any) -> None:
-    context.fleet.put(started(1, 8100))
+@when('the registration of its earlier start arrives late')
+def put_late_registration(context: Any) -> None:
+    context.fleet.put(engine_started(1, 8100))
 
 
-@then('requests go to the new address')
-def new_address(context: Any) -> None:
-    assert in_use(context.fleet) == [8200]
+@then('requests are sent to the new address')
+def check_new_address(context: Any) -> None:
+    assert used_ports(context.fleet) == [8200]
 
 
-@then('that holds as well after its new entry was removed')
-def removed(context: Any) -> None:
+@then('this holds as well after its new registration was removed')
+def check_after_removal(context: Any) -> None:
     context.fleet.remove(NAME)
-    context.fleet.put(started(1, 8100))
-    assert not in_use(context.fleet)
-    context.fleet.put(started(2, 8200))
-    assert in_use(context.fleet) == [8200]
+    context.fleet.put(engine_started(1, 8100))
+    assert not used_ports(context.fleet)
+    context.fleet.put(engine_started(2, 8200))
+    assert used_ports(context.fleet) == [8200]
 
 
-@given('an engine whose entry tells no start')
-def untold(context: Any) -> None:
+@given('an engine whose registration states no start')
+def engine_without_start(context: Any) -> None:
     context.fleet = Fleet()
-    context.fleet.put(started(0, 8100))
+    context.fleet.put(engine_started(0, 8100))
 
 
-@then('requests go to it, and to its next start that does tell')
-def both(context: Any) -> None:
-    assert in_use(context.fleet) == [8100]
-    context.fleet.put(started(2, 8200))
-    assert in_use(context.fleet) == [8200]
+@then('requests are sent to it, and to its next start if it states one')
+def check_with_and_without_start(context: Any) -> None:
+    assert used_ports(context.fleet) == [8100]
+    context.fleet.put(engine_started(2, 8200))
+    assert used_ports(context.fleet) == [8200]
 
 
-@given('an engine that was replaced at its address')
-def replaced(context: Any) -> None:
+@given('an engine whose address is used by another upstream')
+def replaced_engine(context: Any) -> None:
     context.fleet = Fleet()
-    context.fleet.put(started(1, 8100))
-    context.fleet.replaced(started(1).upstream)
+    context.fleet.put(engine_started(1, 8100))
+    context.fleet.replaced(engine_started(1).upstream)
 
 
-@when('its old entry is written again, and then one of a new start')
-def written_again(context: Any) -> None:
-    context.fleet.put(started(1, 8100))
-    context.before = in_use(context.fleet)
-    context.fleet.put(started(2, 8200))
+@when('its old registration is written again, and then one of a new start')
+def put_old_and_new(context: Any) -> None:
+    context.fleet.put(engine_started(1, 8100))
+    context.ports_before = used_ports(context.fleet)
+    context.fleet.put(engine_started(2, 8200))
 
 
-@then('requests go to the new start only')
-def new_only(context: Any) -> None:
-    assert not context.before
-    assert in_use(context.fleet) == [8200]
+@then('requests are sent to the new start only')
+def check_new_only(context: Any) -> None:
+    assert not context.ports_before
+    assert used_ports(context.fleet) == [8200]
 
 
 async def start_again(site: Site, engine: Engine) -> None:
-    """Crash an engine; it comes back under its name and registers."""
+    """Crash an engine; it starts and registers again 0.3 s later."""
     await engine.restart(0.3)
     site.store.put('servers', engine.name, engine.registration())
 
@@ -154,7 +156,7 @@
 @given(
     'a site whose first engine starts again {after_s:g} s after a step began'
 )
-def again_in_step(context: Any, after_s: float) -> None:
+def restart_in_step(context: Any, after_s: float) -> None:
     context.groups = [[30, 30], [30, 30], [30, 30]]
 
     async def scene(site: Site) -> None:
@@ -162,22 +164,22 @@
         engine = site.engines['engine-0']
         await handed_in(site, context.groups)
         await asyncio.sleep(after_s)
-        context.before = len(engine.seen)
+        context.runs_before = len(engine.seen)
         await start_again(site, engine)
         context.results = await site.all_results('entry-1', JOB)
         await asyncio.sleep(1.5)
-        seen = len(engine.seen)
+        runs = len(engine.seen)
         reply = await site.submit('entry-0', 'j2', context.groups)
         assert reply is not None
         await asyncio.sleep(1)
-        context.next_runs = len(engine.seen) - seen
+        context.next_runs = len(engine.seen) - runs
 
     play(scene)
 
 
-@then("the step's results are whole and of the versions that made them")
-def whole(context: Any) -> None:
-    assert context.before, 'the engine had no item'
+@then("the step's results are complete and name the versions that made them")
+def check_results(context: Any) -> None:
+    assert context.runs_before, 'the engine had no item'
     lengths = lengths_of(context.groups)
     assert len(context.results) == len(lengths), context.results
     for result in context.results:
@@ -189,33 +191,34 @@
 
 
 @then('the engine runs items of the next step')
-def runs_next(context: Any) -> None:
+def check_next_step(context: Any) -> None:
     assert context.next_runs, context.next_runs
 
 
-async def until(site: Site, holds: Any, most_s: float) -> float:
+async def wait_until(site: Site, holds: Any, timeout_s: float) -> float:
+    """Wait until `holds` returns true, and return the time it took."""
     began = site.clock.elapsed()
     while not holds():
         await asyncio.sleep(0.02)
         took_s = (site.clock.elapsed() - began).total_seconds()
-        assert took_s < most_s, took_s
+        assert took_s < timeout_s, took_s
     return (site.clock.elapsed() - began).total_seconds()
 
 
 @given('an engine with version 1 and its agent, and version 2 is published')
-def published(context: Any) -> None:
+def published_version(context: Any) -> None:
     context.version = 2
 
 
-@when('the engine starts again {when_ms:d} ms after it took the order')
-def again_at_order(context: Any, when_ms: int) -> None:
+@when('the engine starts again {when_ms:d} ms after it accepted the order')
+def restart_at_order(context: Any, when_ms: int) -> None:
     async def scene(site: Site) -> None:
         engine = await with_agent(site)
         publish(site, context.version)
-        await until(site, lambda: engine.orders, 10)
+        await wait_until(site, lambda: engine.orders, 10)
         await asyncio.sleep(when_ms / 1000)
         await start_again(site, engine)
-        context.took_s = await until(
+        context.took_s = await wait_until(
             site, lambda: engine.version == context.version, 10
         )
         context.orders = list(engine.orders)
@@ -223,31 +226,31 @@
     play(scene)
 
 
-@then('the engine has version 2 within {most_s:g} s of its new start')
-def has_version(context: Any, most_s: float) -> None:
-    assert context.took_s <= most_s, context.took_s
+@then('the engine has version 2 within {max_s:g} s of its new start')
+def check_version(context: Any, max_s: float) -> None:
+    assert context.took_s <= max_s, context.took_s
     assert all(order['expected'] == 0 for order in context.orders)
 
 
-@given('an engine whose first order waits until it has started again')
-def old_order(context: Any) -> None:
+@given('an engine whose first order is delayed until it has started again')
+def delayed_order(context: Any) -> None:
     async def scene(site: Site) -> None:
         engine = await with_agent(site)
         engine.late_orders = 1
         publish(site, 2)
-        await until(site, lambda: not engine.late_orders, 10)
+        await wait_until(site, lambda: not engine.late_orders, 10)
         publish(site, 3)
-        await until(site, lambda: engine.version == 3, 10)
+        await wait_until(site, lambda: engine.version == 3, 10)
         await start_again(site, engine)
-        await until(site, lambda: engine.version == 2, 10)
-        context.took_s = await until(site, lambda: engine.version == 3, 10)
+        await wait_until(site, lambda: engine.version == 2, 10)
+        context.took_s = await wait_until(site, lambda: engine.version == 3, 10)
 
     play(scene)
 
 
 @then(
     'the engine goes back to version 2 and has version 3 again within '
-    '{most_s:g} s'
+    '{max_s:g} s'
 )
-def back(context: Any, most_s: float) -> None:
-    assert context.took_s <= most_s, context.took_s
+def check_corrected(context: Any, max_s: float) -> None:
+    assert context.took_s <= max_s, context.took_s
--- a/features/steps/fleet_quarantine_steps.py
+++ b/features/steps/fleet_quarantine_steps.py
@@ -33,7 +33,7 @@
     return Strike(request, UpstreamId(f'u{number}'), before)
 
 
-def learned(strikes: list[Strike]) -> Quarantine:
+def quarantine_of(strikes: list[Strike]) -> Quarantine:
     quarantine = Quarantine()
     for one in strikes:
         quarantine.add(one, NOW)
@@ -41,118 +41,123 @@
 
 
 def counts(strikes: list[Strike]) -> list[int]:
-    quarantine = learned(strikes)
+    quarantine = quarantine_of(strikes)
     return [quarantine.strikes(request) for request in REQUESTS]
 
 
 @then('strikes in any order give each request the same count')
-def any_order(_: Any) -> None:
+def check_any_order(_: Any) -> None:
     @settings(derandomize=True, max_examples=300, database=None, deadline=None)
     @given_cases(strategies.data())
     def check(cases: Any) -> None:
-        # An upstream ends once, so one strike for each request there.
+        # An upstream crashes once, so a request has one strike of it at most.
         drawn = cases.draw(
             strategies.lists(
                 STRIKES, unique_by=lambda one: (one.fingerprint, one.upstream)
             )
         )
-        mixed = cases.draw(strategies.permutations([*drawn, *drawn[:2]]))
-        assert counts(drawn) == counts(mixed)
+        shuffled = cases.draw(strategies.permutations([*drawn, *drawn[:2]]))
+        assert counts(drawn) == counts(shuffled)
 
     check()
 
 
-@given('a chain of upstreams that end under a request')
-def chain(context: Any) -> None:
+@given('a chain of upstreams that crash while they run a request')
+def crash_chain(context: Any) -> None:
     context.chain = [strike(number, number) for number in range(4)]
 
 
-def rests(context: Any, least: int) -> list[float]:
+def quarantine_times_s(context: Any, min_strikes: int) -> list[float]:
     return [
-        learned(context.chain[:ends]).rest(REQUEST, least, NOW).total_seconds()
-        for ends in range(1, 5)
+        quarantine_of(context.chain[:crashes])
+        .rest(REQUEST, min_strikes, NOW)
+        .total_seconds()
+        for crashes in range(1, 5)
     ]
 
 
-@then('a call rests for 0, 5, 120 and 600 s behind the 1st to the 4th of them')
-def call_rests(context: Any) -> None:
-    assert rests(context, CALL_STRIKES) == [0, 5, 120, 600]
+@then('a call is quarantined for 0, 5, 120 and 600 s after crashes 1 to 4')
+def check_call_times(context: Any) -> None:
+    assert quarantine_times_s(context, CALL_STRIKES) == [0, 5, 120, 600]
 
 
-@then('an item rests for 0, 0, 5 and 120 s behind them')
-def item_rests(context: Any) -> None:
-    assert rests(context, ITEM_STRIKES) == [0, 0, 5, 120]
+@then('an item is quarantined for 0, 0, 5 and 120 s after them')
+def check_item_times(context: Any) -> None:
+    assert quarantine_times_s(context, ITEM_STRIKES) == [0, 0, 5, 120]
 
 
-@given('three upstreams that end at once with the same request')
-def at_once(context: Any) -> None:
-    context.quarantine = learned([strike(number, 0) for number in range(3)])
+@given('three upstreams that crash at the same time with the same request')
+def crash_together(context: Any) -> None:
+    context.quarantine = quarantine_of(
+        [strike(number, 0) for number in range(3)]
+    )
 
 
-@then('one strike is held against it')
-def one_strike(context: Any) -> None:
+@then('the request has one strike')
+def check_one_strike(context: Any) -> None:
     assert context.quarantine.strikes(REQUEST) == 1
 
 
-@given('an upstream that ends under a request that is suspected and a new one')
-def two_there(context: Any) -> None:
-    context.quarantine = learned(
+@given('an upstream that crashes while it runs a suspected and a new request')
+def crash_with_two_requests(context: Any) -> None:
+    context.quarantine = quarantine_of(
         [strike(0, 0), strike(1, 0, NEW), strike(1, 1)]
     )
 
 
-@then('nothing is held against the new one')
-def nothing_held(context: Any) -> None:
+@then('the new request has no strikes')
+def check_no_strikes(context: Any) -> None:
     assert context.quarantine.strikes(NEW) == 0
     assert context.quarantine.strikes(REQUEST) == 2
 
 
 @given(
-    '{count:d} upstreams that end {pause_ms:d} ms apart, all sent the request'
-    ' before'
+    '{count:d} upstreams that crash {pause_ms:d} ms apart, and got the request'
+    ' before that'
 )
-def one_after_another(context: Any, count: int, pause_ms: int) -> None:
-    context.held = []
+def crash_in_turn(context: Any, count: int, pause_ms: int) -> None:
+    context.strike_counts = []
     quarantine = Quarantine()
     for number in range(count):
         now = NOW + dt.timedelta(milliseconds=pause_ms * number)
         upstream = UpstreamId(f'u{number}')
         quarantine.add(quarantine.next_strike(REQUEST, upstream, 0, now), now)
-        context.held.append(quarantine.strikes(REQUEST))
+        context.strike_counts.append(quarantine.strikes(REQUEST))
 
 
-@then('1, 2, 3 and 4 strikes are held against it behind each of them')
-def held_in_turn(context: Any) -> None:
-    assert context.held == [1, 2, 3, 4], context.held
+@then('the request has 1, 2, 3 and 4 strikes after crashes 1 to 4')
+def check_strikes_in_turn(context: Any) -> None:
+    assert context.strike_counts == [1, 2, 3, 4], context.strike_counts
 
 
 @given(
-    '{count:d} upstreams that end under a request beside one that is suspected'
+    '{count:d} upstreams that crash while they run a request and a suspected'
+    ' one'
 )
-def beside_suspects(context: Any, count: int) -> None:
-    context.held = []
+def crash_beside_suspect(context: Any, count: int) -> None:
+    context.strike_counts = []
     quarantine = Quarantine()
     for number in range(count):
         quarantine.add(strike(number, 5, NEW), NOW)
         quarantine.add(strike(number, 0), NOW)
-        context.held.append(quarantine.strikes(REQUEST))
+        context.strike_counts.append(quarantine.strikes(REQUEST))
 
 
-@then('0, 1, 2, 3 and 4 strikes are held against it behind each of them')
-def held_against(context: Any) -> None:
-    assert context.held == [0, 1, 2, 3, 4], context.held
+@then('the request has 0, 1, 2, 3 and 4 strikes after crashes 1 to 5')
+def check_strikes_beside_suspect(context: Any) -> None:
+    assert context.strike_counts == [0, 1, 2, 3, 4], context.strike_counts
 
 
-@given('{count:d} upstreams that end, each under a request of its own')
-def many_end(context: Any, count: int) -> None:
+@given('{count:d} upstreams that crash, each with a request of its own')
+def many_crashes(context: Any, count: int) -> None:
     context.count = count
-    context.quarantine = learned(
+    context.quarantine = quarantine_of(
         [strike(one, 0, Fingerprint(str(one))) for one in range(count)]
     )
 
 
-@then('at most {most:d} of them are remembered, the latest')
-def bounded(context: Any, most: int) -> None:
+@then('at most {maximum:d} of them are kept, the latest')
+def check_bound(context: Any, maximum: int) -> None:
     kept = list(context.quarantine)
-    assert len(kept) == most, len(kept)
+    assert len(kept) == maximum, len(kept)
     assert kept[0].upstream == f'u{context.count - 1}', kept[0]
