--- a/bergamotdoor/calls/manifest.py
+++ b/bergamotdoor/calls/manifest.py
@@ -53,7 +53,7 @@
     timeout: dt.timedelta
     #: Target latency; a response within it is worth most to the caller.
     objective: dt.timedelta
-    #: Maximum number of upstreams that may run one request.
+    #: Maximum number of attempts for one request, each at another upstream.
     max_attempts: int = 1
     #: Whether another upstream can continue an interrupted stream.
     resumable: bool = False
@@ -70,7 +70,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Limits on the size of callers' requests, and on idle time."""
+    """Limits on the size of callers' requests, and on slow senders."""
 
     max_header_bytes: int = _DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = _DEFAULT_MAX_BODY_BYTES
--- a/bergamotdoor/calls/tries.py
+++ b/bergamotdoor/calls/tries.py
@@ -33,8 +33,10 @@
 #: upstream.
 HEDGE_SHARE: Final = 0.55
 #: Minimum hedge delay of a scoring call: four times the usual latency.
-_MIN_SCORE_DELAY_MS: Final = 200
-_MIN_SCORE_DELAY: Final = dt.timedelta(milliseconds=_MIN_SCORE_DELAY_MS)
+_MIN_SCORE_HEDGE_DELAY_MS: Final = 200
+_MIN_SCORE_HEDGE_DELAY: Final = dt.timedelta(
+    milliseconds=_MIN_SCORE_HEDGE_DELAY_MS
+)
 #: Part of the remaining time that is reserved to report a failure to the
 #: caller before its deadline.
 _ANSWER_MARGIN_MS: Final = 20
@@ -86,7 +88,7 @@
             repeatable=True,
             idempotent=True,
             max_attempts=route.max_attempts,
-            patience=max(route.objective, _MIN_SCORE_DELAY),
+            patience=max(route.objective, _MIN_SCORE_HEDGE_DELAY),
             deadline=deadline,
         )
 
@@ -166,8 +168,8 @@
     def patience(self, now: dt.timedelta) -> dt.timedelta:
         """Return how long to wait for the attempts in flight.
 
-        The hedge delay if another attempt may begin after it, the time left
-        otherwise.
+        This is the hedge delay if another attempt may begin, but never longer
+        than the time left.
         """
         left = max(self.left(now), _NO_TIME)
         return min(left, self._rules.patience) if self.may_begin(now) else left
--- a/bergamotdoor/fleet/fleet.py
+++ b/bergamotdoor/fleet/fleet.py
@@ -101,8 +101,8 @@
         Failure: registrations expire while the store is unavailable.
         Symptom: when the store is back, all upstreams appear to be gone for
         two seconds, and every request is refused. A running upstream
-        registers again within that time; one that does not is removed by
-        :meth:`expire`.
+        registers again within that time; one that does not is removed at the
+        deadline.
 
         Parameters
         ----------
--- a/bergamotdoor/fleet/loads.py
+++ b/bergamotdoor/fleet/loads.py
@@ -3,8 +3,8 @@
 Load pattern: bursts of batch items and a trickle of calls, sent by several
 processes that do not tell each other what they send. Each process counts its
 own requests and adds those of the others, which the upstream reported a
-moment ago. After a refusal or a failure it sends the upstream nothing for a
-backoff period.
+moment ago. After a refusal or a failure it avoids the upstream for a backoff
+period.
 """
 
 from __future__ import annotations
--- a/bergamotdoor/fleet/quarantine.py
+++ b/bergamotdoor/fleet/quarantine.py
@@ -84,7 +84,7 @@
         return bool(self._by_request)
 
     def __iter__(self) -> Iterator[Strike]:
-        """Return the strikes that count, those that were added last first."""
+        """Return the strikes that count, the last added ones first."""
         for upstream, at_upstream in reversed(self._ended.items()):
             for fingerprint, strike in at_upstream.items():
                 if upstream in self._by_request.get(fingerprint, ()):
@@ -159,9 +159,9 @@
     def strikes(self, fingerprint: Fingerprint) -> int:
         """Return a request's number of strikes: the length of its chain.
 
-        Upstreams that crash at the same time count as one: they have a common
-        cause, since the request was sent to none of them because another one
-        had crashed.
+        Upstreams that crash at the same time count as one: a common cause is
+        assumed, since none of them got the request after, and because of, the
+        crash of another one.
 
         Failure: of several requests that crash upstreams, one always runs
         beside another that has a longer chain. Symptom: it is sent on however
@@ -230,7 +230,7 @@
 
 
 def newest(strikes: Iterable[Strike], most: int) -> tuple[Strike, ...]:
-    """Return the `most` strikes that were added last.
+    """Return the strikes that were added last.
 
     Parameters
     ----------
--- a/bergamotdoor/fleet/swap.py
+++ b/bergamotdoor/fleet/swap.py
@@ -1,16 +1,16 @@
 """Assignment of models to engines, and the order in which weights are loaded.
 
 Load pattern: several trainers share the engines, and each publishes a version
-every few seconds. If each engine loaded the versions of all four models, every
+every few seconds. If each engine loaded the versions of four models, every
 engine would be loading all the time, for one second per version. The engines
 of a service are therefore divided evenly among the models, and an engine loads
 only the versions of models that are assigned to it. It keeps the weights that
 it has of the other models and gets none of their later items.
 
-The engines of a model load two at a time: an engine serves no requests for a
-model while it loads that model's weights, and more engines that load together
-load more slowly. Each agent computes the order on its own, from the list of
-registrations.
+The engines of a model load two at a time, or more of many engines: an engine
+serves no requests for a model while it loads that model's weights, and more
+engines that load together load more slowly. Each agent computes the order on
+its own, from the list of registrations.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 _LOAD_TIME_MS: Final = 950
 LOAD_TIME: Final = dt.timedelta(milliseconds=_LOAD_TIME_MS)
 #: Delay of the first loads after a version is published. A trainer submits
-#: its next step at the same time, and that step uses the version before. The
+#: its next step at the same time, and that step uses the previous version. The
 #: step's burst is over after a second, since most items have some twenty
 #: events of 40 ms.
 _BURST_S: Final = 1
@@ -66,7 +66,7 @@
         self._addresses = sorted(
             {(one.address.ip, one.address.port) for one in members}
         )
-        self._own = own
+        self._own_address = own
 
     def models(self) -> frozenset[ModelId]:
         """Return the models whose versions the own engine loads.
@@ -89,7 +89,7 @@
         Failure: engines load weights while a step arrives. Symptom: they
         refuse its items for a second; on a site of four trainers, up to the
         whole step started a second late. Loads therefore begin after the
-        step's burst, and each engine still has the version before the next
+        step's burst, and each engine has the new version by the time the next
         step needs it.
 
         Parameters
@@ -112,11 +112,13 @@
 
     @property
     def _is_registered(self) -> bool:
-        return (self._own.ip, self._own.port) in self._addresses
+        return (self._own_address.ip, self._own_address.port) in self._addresses
 
     @property
     def _own_index(self) -> int:
-        return self._addresses.index((self._own.ip, self._own.port))
+        return self._addresses.index(
+            (self._own_address.ip, self._own_address.port)
+        )
 
     def _engine_range(self, model: ModelId) -> range:
         # Each model has a contiguous range of the engines, sorted by address.
--- a/bergamotdoor/fleet/upstreams.py
+++ b/bergamotdoor/fleet/upstreams.py
@@ -21,7 +21,7 @@
 class Upstream(msgspec.Struct, frozen=True, kw_only=True):
     """One incarnation of an engine or a plain service."""
 
-    #: Id of the incarnation, see :func:`incarnation`.
+    #: Id of the incarnation; made of the registration and the start.
     upstream: UpstreamId
     #: Name under which the upstream is registered.
     registration: RegistrationId
