--- a/benchmarks/_http_site.py
+++ b/benchmarks/_http_site.py
@@ -1,4 +1,4 @@
-"""A server with a few answers, and a client for it, for the HTTP benchmark."""
+"""HTTP server with a few test handlers, and a client for it."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 STREAM_MB: Final = 32
 MB: Final = 1_048_576
 
-_PIECE: Final = bytes(65_536)
+_PIECE_OF_ZEROS: Final = bytes(65_536)
 _TIMEOUT: Final = dt.timedelta(seconds=10)
 
 
 class Site(msgspec.Struct):
-    """A running server and a client for it."""
+    """Running server, its address, and a client for it."""
 
     server: HttpServer
     address: Address
@@ -39,7 +39,7 @@
 
     @classmethod
     async def open(cls) -> Site:
-        """Start a server on a free port."""
+        """Start a server on a free port, and create a client for it."""
         clock = LoopClock()
         server = HttpServer(
             Address(ip='127.0.0.1', port=0), answer, HttpLimits(), clock
@@ -47,12 +47,25 @@
         return cls(server, await server.start(), HttpClient(clock))
 
     async def close(self) -> None:
-        """Stop both."""
+        """Close the client and stop the server."""
         await self.client.close()
         await self.server.stop(_TIMEOUT)
 
     async def send(self, target: str, **fields: object) -> ClientResponse:
-        """Send a POST; raise if there is no response."""
+        """Send a POST request, and return its response.
+
+        Parameters
+        ----------
+        target
+            Path of the request.
+        **fields
+            Fields of the request that replace the defaults.
+
+        Raises
+        ------
+        ConnectionError
+            If there is no response.
+        """
         request = ClientRequest(
             address=self.address, method='POST', target=target, timeout=_TIMEOUT
         )
@@ -65,7 +78,13 @@
 
 
 async def answer(request: HttpRequest) -> HttpResponse:
-    """Echo, stream zeros, count a body, or wait and echo the target."""
+    """Return the response to a request of the benchmark.
+
+    ``/zeros`` streams zeros, ``/count`` returns the size of the body, and
+    ``/echo`` returns the body. For any other target the handler waits for
+    ``x-delay-s`` seconds, and returns the target once for each byte of the
+    body.
+    """
     if request.target == '/zeros':
         return HttpResponse(status=200, body=zeros())
     if request.target == '/count':
@@ -79,12 +98,12 @@
 
 
 async def size_bytes(body: AsyncIterator[bytes]) -> int:
-    """Read a body without keeping it."""
+    """Return the size of a body, which is read and discarded."""
     sizes = [len(piece) async for piece in body]
     return sum(sizes)
 
 
 async def zeros() -> AsyncIterator[bytes]:
-    """Yield STREAM_MB megabytes."""
-    for _ in range(STREAM_MB * MB // len(_PIECE)):
-        yield _PIECE
+    """Yield ``STREAM_MB`` megabytes of zeros."""
+    for _ in range(STREAM_MB * MB // len(_PIECE_OF_ZEROS)):
+        yield _PIECE_OF_ZEROS
--- a/benchmarks/http_bench.py
+++ b/benchmarks/http_bench.py
@@ -1,8 +1,8 @@
-"""What an HTTP exchange costs, over real loopback in one process.
+"""Benchmark of HTTP exchanges over the loopback interface in one process.
 
-Server and client share the process and its one processor, so a figure
-with both is the sum of their work. Times are wall time; the machine's other
-work is in them.
+Server and client share the process and its one processor, so a figure for
+both is the sum of their work. Times are wall time and include the effect of
+other load on the machine.
 """
 
 from __future__ import annotations
@@ -35,13 +35,15 @@
 HALF_READ_SHARE: Final = 0.2
 
 _US_PER_SECOND: Final = 1_000_000
-_RAW: Final = b'POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc'
-_RAW_END: Final = b'abc'
+_RAW_REQUEST: Final = (
+    b'POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc'
+)
+_RAW_BODY: Final = b'abc'
 _DATE: Final = 'Thu, 01 Jan 2026 00:00:00 GMT'
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One figure."""
+    """One measured figure."""
 
     name: str
     value: float
@@ -57,34 +59,41 @@
 
 
 async def h11_alone(_site: Site) -> int:
-    """Parse and answer prepared bytes without sockets or tasks."""
+    """Parse prepared requests and produce responses with h11 alone.
+
+    No sockets or tasks are involved. Like the other measurements, it returns
+    the number of units (exchanges or MB) that were processed.
+    """
     machine = h11.Connection(h11.SERVER)
     headers = [('content-length', '3'), ('date', _DATE)]
     for _ in range(EXCHANGES):
-        machine.receive_data(_RAW)
+        machine.receive_data(_RAW_REQUEST)
         while machine.their_state is not h11.DONE:
             machine.next_event()
         machine.send(h11.Response(status_code=200, headers=headers))
-        machine.send(h11.Data(data=_RAW_END))
+        machine.send(h11.Data(data=_RAW_BODY))
         machine.send(h11.EndOfMessage())
         machine.start_next_cycle()
     return EXCHANGES
 
 
 async def small_raw(site: Site) -> int:
-    """Exchange prepared bytes: the server's work and the sockets'."""
+    """Exchange prepared bytes with the server over a plain socket.
+
+    The figure covers the work of the server and the sockets only.
+    """
     reader, writer = await asyncio.open_connection(
         site.address.ip, site.address.port
     )
     for _ in range(EXCHANGES):
-        writer.write(_RAW)
-        await reader.readuntil(_RAW_END)
+        writer.write(_RAW_REQUEST)
+        await reader.readuntil(_RAW_BODY)
     writer.close()
     return EXCHANGES
 
 
 async def small_pooled(site: Site) -> int:
-    """Exchange small requests on one kept connection."""
+    """Exchange small requests on one pooled connection."""
     for _ in range(EXCHANGES):
         response = await site.send('/echo', body=b'abc')
         await response.read_body(MB)
@@ -92,7 +101,7 @@
 
 
 async def small_fresh(site: Site) -> int:
-    """Exchange work that must not run twice: a connection for each."""
+    """Exchange requests that are not idempotent, so each has a connection."""
     count = EXCHANGES // 4
     for _ in range(count):
         response = await site.send('/echo', body=b'abc', idempotent=False)
@@ -101,7 +110,7 @@
 
 
 async def stream_down(site: Site) -> int:
-    """Read a streamed response."""
+    """Receive a streamed response."""
     response = await site.send('/zeros')
     received = await size_bytes(response.body)
     if received != STREAM_MB * MB:
@@ -110,7 +119,7 @@
 
 
 async def stream_up(site: Site) -> int:
-    """Send a streamed request."""
+    """Send a request with a streamed body."""
     response = await site.send('/count', body=zeros())
     counted = int(await response.read_body(MB))
     if counted != STREAM_MB * MB:
@@ -119,36 +128,42 @@
 
 
 async def best_us(site: Site, run: Callable[[Site], Awaitable[int]]) -> float:
-    """Return the microseconds per unit of the fastest round."""
+    """Return the microseconds per unit in the fastest round of `run`."""
     rounds = []
     for _ in range(ROUNDS):
-        begun = time.perf_counter()
+        started_at_s = time.perf_counter()
         units = await run(site)
-        rounds.append((time.perf_counter() - begun) / units)
+        rounds.append((time.perf_counter() - started_at_s) / units)
     return min(rounds) * _US_PER_SECOND
 
 
 async def wrong_answers(site: Site, seed: int) -> int:
-    """Count answers that are not the caller's own, whole one."""
+    """Run concurrent callers, and count wrong responses.
+
+    A response is wrong if it is not the complete one to the caller's own
+    request.
+    """
     callers = [
-        _caller(site, number, random.Random(f'{seed}.{number}'))
+        _run_caller(site, number, random.Random(f'{seed}.{number}'))
         for number in range(CALLERS)
     ]
     return sum(await asyncio.gather(*callers))
 
 
-async def _caller(site: Site, number: int, chance: random.Random) -> int:
+async def _run_caller(
+    site: Site, caller_number: int, rng: random.Random
+) -> int:
     wrong = 0
     for call in range(CALLS_EACH):
-        target = f'/{number}/{call};'
-        delay_s = chance.uniform(0, MOST_DELAY_MS) / 1000
-        repeats = chance.choice((1, 100, 10_000))
+        target = f'/{caller_number}/{call};'
+        delay_s = rng.uniform(0, MOST_DELAY_MS) / 1000
+        repeats = rng.choice((1, 100, 10_000))
         response = await site.send(
             target,
             body=bytes(repeats),
             headers=Headers.of([('x-delay-s', str(delay_s))]),
         )
-        if chance.random() < HALF_READ_SHARE:
+        if rng.random() < HALF_READ_SHARE:
             await response.body.aclose()  # type: ignore[attr-defined]
             continue
         body = await response.read_body(MB)
@@ -157,7 +172,7 @@
 
 
 async def measure(seed: int) -> Report:
-    """Run every measurement."""
+    """Run all measurements, and return their figures."""
     site = await Site.open()
     runs = (
         ('small exchange, h11 alone, server side', h11_alone, 'us'),
@@ -177,7 +192,7 @@
 
 
 def main(_: list[str]) -> None:
-    """Print the table, write the JSON, fail on a wrong answer."""
+    """Print the table, write the JSON file, and fail on a wrong response."""
     report = asyncio.run(measure(SEED.value))
     for row in report.rows:
         print(f'{row.name:<40} {row.value:>10} {row.unit}')
--- a/bergamotdoor/http/__init__.py
+++ b/bergamotdoor/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP server and client tasks over h11."""
+"""HTTP/1.1 server and client on asyncio, with h11 as the parser."""
 
 from __future__ import annotations
 
--- a/bergamotdoor/http/_call.py
+++ b/bergamotdoor/http/_call.py
@@ -1,4 +1,4 @@
-"""One request and its response on one connection to an upstream."""
+"""Exchange of one request and its response on a connection to an upstream."""
 
 from __future__ import annotations
 
@@ -26,29 +26,31 @@
 
     from bergamotdoor.http._stream import Stream
 
-#: Takes a connection back, and how long the other side keeps it idle.
+#: Callback that receives a reusable connection, and the time for which the
+#: upstream keeps it open while idle (``None`` if it did not say).
 Release: TypeAlias = 'Callable[[Stream, dt.timedelta | None], None]'
-#: What h11 makes of the bytes it was given.
+#: An event that h11 parsed, or its request for more input.
 Received = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
 _MAX_HEAD_BYTES: Final = 65536
 
 
 class Call:
-    """Sends a request and reads its response.
+    """Exchange of one request and its response on one connection.
 
-    The connection is released only once the response has been read to its
-    end and the request was written whole, so a later request can never
-    be given the rest of this one's response.
+    The connection is released for reuse only after the complete response
+    has been received and the complete request has been written. A later
+    request therefore never receives the rest of this response.
 
     Parameters
     ----------
     stream
-        The connection; nobody else uses it until it is released.
+        Connection to the upstream, for exclusive use until its release.
     request
-        What to send.
+        Request to send.
     release
-        Takes the connection back when it may be used again.
+        Callback that is called once with the connection when it may be
+        reused. It is not called if the connection is aborted.
     """
 
     def __init__(
@@ -64,34 +66,41 @@
         self._machine = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
         )
-        self._sender: asyncio.Task[None] | None = None
-        #: Pieces of the body that came and were not read.
-        self._ready: deque[bytes] = deque()
-        #: Whether the whole body came.
-        self._whole = False
-        #: Why the request's body could not be sent whole.
+        self._body_sender: asyncio.Task[None] | None = None
+        #: Pieces of the response's body that arrived and were not read yet.
+        self._unread_pieces: deque[bytes] = deque()
+        #: Whether the end of the response's body has arrived.
+        self._is_body_complete = False
+        #: Error of the request's body, if its source failed before the end.
         self.sending_error: Exception | None = None
 
     def write(self, head: h11.Request) -> None:
-        """Write the head; a short body goes with it, others follow."""
-        ready = self._machine.send(head)
+        """Write the head, and start to send the body.
+
+        A body of at most ``READ_BYTES`` is written together with the head.
+        A background task sends a longer or streamed body.
+        """
+        output = self._machine.send(head)
         body = self._request.body
         if isinstance(body, bytes) and len(body) <= READ_BYTES:
-            ready += self._machine.send(h11.Data(data=body))
-            ready += self._machine.send(h11.EndOfMessage())
+            output += self._machine.send(h11.Data(data=body))
+            output += self._machine.send(h11.EndOfMessage())
         else:
-            self._sender = asyncio.create_task(self._send_body())
-        self._stream.write(ready)
+            self._body_sender = asyncio.create_task(self._send_body())
+        self._stream.write(output)
 
     async def response(self) -> ClientResponse:
-        """Read the response's head.
+        """Read the response's head, and return it with the body unread.
 
         Raises
         ------
         h11.RemoteProtocolError
-            If the upstream broke off or broke a rule of HTTP.
+            If the connection ended early, or the response violates HTTP.
         UnclearEndError
-            If only the close would mark the end of the body.
+            If the end of the body could not be distinguished from a crash
+            of the upstream, and the request does not allow for that.
+        TimeoutError
+            If no bytes arrive for the timeout of the request.
         """
         event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
@@ -102,71 +111,74 @@
         if not self._request.close_ends_body:
             check_end(self._request.method, event.status_code, headers)
         self._idle_limit = idle_limit(headers)
-        self._take_what_came()
+        self._handle_buffered_events()
         body = ResponseBody(self)
-        if not self._whole:
-            # A response that is dropped unread, such as by a timeout that
-            # ends in the same moment, would keep its connection for ever.
+        if not self._is_body_complete:
+            # A response can be discarded before anyone reads or closes it,
+            # for example by a timeout that expires at the moment it arrives.
+            # Without the finalizer its connection would stay open for ever.
             weakref.finalize(body, self.abort).atexit = False
         return ClientResponse(
             status=event.status_code, headers=end_to_end(headers), body=body
         )
 
     async def next_piece(self) -> bytes | None:
-        """Return the next piece of the body, None at its end.
+        """Return the next piece of the body, or ``None`` at its end.
 
         Raises
         ------
         BodyBrokenError
-            If the upstream closed or stalled before the end.
+            If the upstream closed the connection before the end of the
+            body, or sent nothing for the timeout of the request.
         """
-        if self._ready:
-            return self._ready.popleft()
-        if self._whole:
+        if self._unread_pieces:
+            return self._unread_pieces.popleft()
+        if self._is_body_complete:
             return None
         try:
-            self._take(await self._next_event())
+            self._handle_event(await self._next_event())
         except h11.RemoteProtocolError as error:
             raise BodyBrokenError(f'response body: {error}') from error
         except TimeoutError as error:
-            pause = self._request.timeout
+            timeout = self._request.timeout
             raise BodyBrokenError(
-                f'response body: nothing came for {pause}'
+                f'response body: nothing came for {timeout}'
             ) from error
-        return self._ready.popleft() if self._ready else None
+        return self._unread_pieces.popleft() if self._unread_pieces else None
 
     def abort(self) -> None:
-        """Cut the connection unless it was released."""
+        """Reset the connection, and stop sending, unless it was released."""
         if self._release is not None:
             self._release = None
-            if self._sender is not None:
-                self._sender.cancel()
+            if self._body_sender is not None:
+                self._body_sender.cancel()
             self._stream.abort()
 
-    def _take_what_came(self) -> None:
-        # A short response is often here already. Its connection is then
-        # free at once, whether or not the body is ever read.
+    def _handle_buffered_events(self) -> None:
+        # The body of a short response has often arrived together with the
+        # head. Its connection is then released at once, even if the caller
+        # never reads the body.
         with contextlib.suppress(h11.RemoteProtocolError):
             event: Received = self._machine.next_event()
-            while event is not h11.NEED_DATA and not self._whole:
-                self._take(event)
-                if not self._whole:
+            while event is not h11.NEED_DATA and not self._is_body_complete:
+                self._handle_event(event)
+                if not self._is_body_complete:
                     event = self._machine.next_event()
 
-    def _take(self, event: Received) -> None:
+    def _handle_event(self, event: Received) -> None:
         if isinstance(event, h11.Data):
-            self._ready.append(bytes(event.data))
+            self._unread_pieces.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._whole = True
-            self._finish()
+            self._is_body_complete = True
+            self._release_or_abort()
         else:
             raise h11.RemoteProtocolError(f'{event} in the body')
 
-    def _finish(self) -> None:
-        unread, _ = self._machine.trailing_data
+    def _release_or_abort(self) -> None:
+        unread_input, _ = self._machine.trailing_data
         states = set(self._machine.states.values())
         release = self._release
-        if states != {h11.DONE} or unread or release is None:
+        if states != {h11.DONE} or unread_input or release is None:
             self.abort()
             return
         self._release = None
@@ -177,8 +189,8 @@
         while event is h11.NEED_DATA:
             piece = await self._stream.read(self._request.timeout)
             if not piece and self._stream.broken:
-                # To h11 a reset is like an orderly close, which may end a
-                # body of no declared length.
+                # h11 cannot distinguish a reset from an orderly close, and
+                # an orderly close may end a body without a declared length.
                 raise h11.RemoteProtocolError('the connection broke')
             self._machine.receive_data(piece)
             event = self._machine.next_event()
@@ -194,11 +206,12 @@
                     await self._send_pieces(chunk)
             await self._send(h11.EndOfMessage())
         except (ConnectionError, TimeoutError):
-            # The upstream stopped reading. It may have answered before it
-            # did, so the response is still read.
+            # The upstream stopped reading. It may have sent a response
+            # before that, so the response is still read.
             return
         except Exception as error:
-            # The upstream must not take a part for the whole.
+            # A reset keeps the upstream from treating the part that was
+            # sent as the complete body.
             self.sending_error = error
             self._stream.abort()
         finally:
@@ -209,15 +222,20 @@
             await self._send(h11.Data(data=piece))
 
     async def _send(self, event: h11.Event) -> None:
-        ready = self._machine.send(event) or b''
-        await self._stream.send(ready, self._request.timeout)
+        output = self._machine.send(event) or b''
+        await self._stream.send(output, self._request.timeout)
 
 
 class ResponseBody:
-    """The pieces of a response's body.
+    """Asynchronous iterator over the pieces of a response's body.
+
+    ``aclose`` before the end resets the connection, so that the upstream
+    stops its work.
 
-    ``aclose`` before the end closes the connection, which tells the
-    upstream to stop.
+    Parameters
+    ----------
+    call
+        Exchange that the body is read from.
     """
 
     def __init__(self, call: Call) -> None:
@@ -229,7 +247,13 @@
         return self
 
     async def __anext__(self) -> bytes:
-        """Return the next piece; raise BodyBrokenError if cut."""
+        """Return the next piece.
+
+        Raises
+        ------
+        BodyBrokenError
+            If the body is incomplete.
+        """
         if self._ended:
             raise StopAsyncIteration
         try:
@@ -243,6 +267,6 @@
         return piece
 
     async def aclose(self) -> None:
-        """Give up what has not been read."""
+        """Discard the unread rest; reset the connection if still in use."""
         self._ended = True
         self._call.abort()
--- a/bergamotdoor/http/_checks.py
+++ b/bergamotdoor/http/_checks.py
@@ -1,4 +1,4 @@
-"""Rules that a request's head must keep beyond what h11 enforces."""
+"""Checks of a request's head beyond those of h11."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
     from bergamotdoor.http.messages import Headers
 
-_CONTINUE: Final = '100-continue'
-_FRAMING: Final = frozenset(('content-length', 'transfer-encoding'))
+_EXPECT_CONTINUE: Final = '100-continue'
+_FRAMING_FIELDS: Final = frozenset(('content-length', 'transfer-encoding'))
 
 
 class Head(NamedTuple):
-    """A request's head that may be handed to a handler."""
+    """Checked head of a request, as it is passed to the handler."""
 
     method: str
     target: str
@@ -26,12 +26,19 @@
 
 
 def checked_head(event: h11.Request, limit_bytes: int) -> Head:
-    """Return the head without the fields of this connection.
+    """Check a request's head, and return it without hop-by-hop fields.
+
+    Parameters
+    ----------
+    event
+        Head as h11 parsed it.
+    limit_bytes
+        Largest allowed sum of the target and the header fields.
 
     Raises
     ------
     RefusedError
-        If it breaks a rule, or is larger than `limit_bytes`.
+        If the head violates a rule, or is larger than `limit_bytes`.
     """
     _check_size(event, limit_bytes)
     _check_protocol(event)
@@ -46,7 +53,17 @@
 
 
 def head_too_large(received: bytes, limit_bytes: int) -> RefusedError:
-    """Return the refusal of a head whose begin is `received`."""
+    """Return the error for a head larger than `limit_bytes`.
+
+    Parameters
+    ----------
+    received
+        Beginning of the head. A line break in it shows that the request
+        line is complete, so the header fields are too large; otherwise the
+        request line is.
+    limit_bytes
+        The bound, for the message.
+    """
     if b'\n' in received:
         return RefusedError(
             HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -59,12 +76,12 @@
 
 
 def _check_size(event: h11.Request, limit_bytes: int) -> None:
-    # h11 bounds only what it has to keep while it waits for more; a head
-    # that came in one piece is measured here.
+    # h11 bounds only the incomplete head that it buffers while it waits for
+    # more input. A head that arrived in one piece is measured here.
     if len(event.target) > limit_bytes:
         raise head_too_large(event.target, limit_bytes)
-    size = sum(len(name) + len(text) for name, text in event.headers)
-    if size + len(event.target) > limit_bytes:
+    size_bytes = sum(len(name) + len(text) for name, text in event.headers)
+    if size_bytes + len(event.target) > limit_bytes:
         raise head_too_large(b'\n', limit_bytes)
 
 
@@ -82,9 +99,10 @@
 
 
 def _check_framing(headers: Headers) -> None:
-    # A request with both is read to different ends by different servers,
-    # and what one takes for the body the next runs as a second request.
-    if _FRAMING <= {field.name for field in headers}:
+    # Servers disagree about where the body of a request with both fields
+    # ends. Bytes that are part of the body for one server could run as a
+    # second request on the next (request smuggling).
+    if _FRAMING_FIELDS <= {field.name for field in headers}:
         raise RefusedError(
             HTTPStatus.BAD_REQUEST,
             'both content-length and transfer-encoding, expected one',
@@ -92,11 +110,11 @@
 
 
 def _check_expectation(headers: Headers) -> None:
-    expectation = headers.first('expect', _CONTINUE)
-    if expectation.lower() != _CONTINUE:
+    expectation = headers.first('expect', _EXPECT_CONTINUE)
+    if expectation.lower() != _EXPECT_CONTINUE:
         raise RefusedError(
             HTTPStatus.EXPECTATION_FAILED,
-            f'expectation {expectation!r}, expected {_CONTINUE!r}',
+            f'expectation {expectation!r}, expected {_EXPECT_CONTINUE!r}',
         )
 
 
--- a/bergamotdoor/http/_outgoing.py
+++ b/bergamotdoor/http/_outgoing.py
@@ -1,4 +1,4 @@
-"""Writes responses to a connection."""
+"""Writing of responses to a connection."""
 
 from __future__ import annotations
 
@@ -28,29 +28,33 @@
 
 _logger = logging.getLogger('bergamotdoor.http')
 
-#: Bodies of unknown length are collected for HTTP/1.0 callers up to this.
-_OLD_BODY_BYTES: Final = 8_388_608
+#: The largest body of unknown length that is collected for an HTTP/1.0 caller.
+_MAX_HTTP10_BODY_BYTES: Final = 8_388_608
 
-#: How many reason phrases are kept.
-_PHRASES: Final = 64
+#: How many encoded reason phrases the cache holds.
+_MAX_CACHED_PHRASES: Final = 64
 
-_LENGTH: Final = 'content-length'
-_BODILESS: Final = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
+_CONTENT_LENGTH: Final = 'content-length'
+_BODILESS_STATUSES: Final = frozenset(
+    (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+)
 
 
 class ResponseWriter:
-    """Turns responses into the bytes of one connection.
+    """Writer of the responses on one connection.
 
     Parameters
     ----------
     stream
-        Where bytes go.
+        Connection to the caller.
     machine
-        The connection's h11 state, shared with the request reader.
+        State machine of the connection in h11, shared with the request
+        reader.
     limits
-        How long the caller may take to read a piece.
+        ``body_timeout_ms`` bounds how long the caller may take to read a
+        piece.
     clock
-        For the ``date`` header.
+        Source of the time in the ``date`` header.
     """
 
     def __init__(
@@ -68,24 +72,27 @@
     async def write(
         self, response: HttpResponse, method: str, closing: bool
     ) -> None:
-        """Write a whole response, and close its body in any case.
+        """Write a complete response.
+
+        Its body is closed in any case, also after an error.
 
         Parameters
         ----------
         response
-            A head that HTTP does not allow is replaced by a 500.
+            Response to write. If its head violates HTTP, a response with
+            status 500 is written instead.
         method
-            The request's; the response to HEAD has no body.
+            Method of the request; a response to HEAD has no body.
         closing
-            Whether to tell the caller that the connection ends.
+            Whether to send ``connection: close``.
 
         Raises
         ------
         TimeoutError
-            If the caller doesn't read.
+            If the caller doesn't read for the body timeout.
         Exception
-            Whatever the body raised. The response is then incomplete, and
-            the connection must be cut.
+            Any error that a streamed body raised. The response is then
+            incomplete, and the connection must be reset.
         """
         try:
             await self._write(response, method, closing)
@@ -96,53 +103,54 @@
         self, response: HttpResponse, method: str, closing: bool
     ) -> None:
         if self._needs_length(response, method):
-            response.body = await _collected(response.body)
+            response.body = await _collect_body(response.body)
         try:
-            head = self._head(response, method, closing)
+            head = self._build_head(response, method, closing)
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
-            _logger.exception('http: a response that HTTP does not allow')
+            _logger.exception('http: response head violates HTTP; sending 500')
             await self._write(response_to(error), method, closing)
             return
         if _has_no_body(response, method):
-            await self._write_whole(head, b'')
+            await self._write_bytes(head, b'')
         elif isinstance(response.body, bytes):
-            await self._write_whole(head, response.body)
+            await self._write_bytes(head, response.body)
         else:
             await self._write_stream(head, response.body)
 
     def _needs_length(self, response: HttpResponse, method: str) -> bool:
-        # HTTP/1.0 marks the end of such a body by the close alone, and a
-        # crash of this process would look the same to the caller.
+        # In HTTP/1.0 only the close of the connection marks the end of a
+        # body without a declared length. A crash of this process would look
+        # the same to the caller, so such a body is collected first.
         return (
             self._machine.their_http_version == b'1.0'
             and not isinstance(response.body, bytes)
             and not _has_no_body(response, method)
-            and not response.headers.first(_LENGTH)
+            and not response.headers.first(_CONTENT_LENGTH)
         )
 
-    def _head(
+    def _build_head(
         self, response: HttpResponse, method: str, closing: bool
     ) -> h11.Response:
-        headers = _framed(response, method)
+        headers = _framed_headers(response, method)
         if not headers.first('date'):
             now = self._clock.now().replace(microsecond=0)
-            headers = headers.plus(('date', _date(now)))
+            headers = headers.plus(('date', _format_date(now)))
         if closing:
             headers = headers.plus(('connection', 'close'))
         return h11.Response(
             status_code=response.status,
             headers=encoded(headers),
-            reason=_phrase(response.status),
+            reason=_reason_phrase(response.status),
         )
 
-    async def _write_whole(self, head: h11.Response, body: bytes) -> None:
-        ready = self._machine.send(head)
+    async def _write_bytes(self, head: h11.Response, body: bytes) -> None:
+        output = self._machine.send(head)
         for piece in pieces_of(body):
-            ready += self._machine.send(h11.Data(data=piece))
-            await self._stream.send(ready, self._timeout)
-            ready = b''
-        ready += self._machine.send(h11.EndOfMessage())
-        await self._stream.send(ready, self._timeout)
+            output += self._machine.send(h11.Data(data=piece))
+            await self._stream.send(output, self._timeout)
+            output = b''
+        output += self._machine.send(h11.EndOfMessage())
+        await self._stream.send(output, self._timeout)
 
     async def _write_stream(
         self, head: h11.Response, body: AsyncIterator[bytes]
@@ -150,43 +158,45 @@
         await self._stream.send(self._machine.send(head), self._timeout)
         async for chunk in body:
             for piece in pieces_of(chunk):
-                sent = self._machine.send(h11.Data(data=piece))
-                await self._stream.send(sent, self._timeout)
-        ended = self._machine.send(h11.EndOfMessage())
-        await self._stream.send(ended, self._timeout)
+                output = self._machine.send(h11.Data(data=piece))
+                await self._stream.send(output, self._timeout)
+        end = self._machine.send(h11.EndOfMessage())
+        await self._stream.send(end, self._timeout)
 
 
-async def _collected(body: bytes | AsyncIterator[bytes]) -> bytes:
+async def _collect_body(body: bytes | AsyncIterator[bytes]) -> bytes:
     if isinstance(body, bytes):
         return body
     try:
-        return await read_all(body, _OLD_BODY_BYTES)
+        return await read_all(body, _MAX_HTTP10_BODY_BYTES)
     finally:
         await close_body(body)
 
 
 def _has_no_body(response: HttpResponse, method: str) -> bool:
-    return method == 'HEAD' or response.status in _BODILESS
+    return method == 'HEAD' or response.status in _BODILESS_STATUSES
 
 
-def _framed(response: HttpResponse, method: str) -> Headers:
+def _framed_headers(response: HttpResponse, method: str) -> Headers:
     headers = end_to_end(response.headers)
     if response.status == HTTPStatus.NO_CONTENT:
-        return headers.without((_LENGTH,))
+        return headers.without((_CONTENT_LENGTH,))
     if not isinstance(response.body, bytes):
         return headers
     if _has_no_body(response, method) and not response.body:
         return headers
-    return headers.without((_LENGTH,)).plus((_LENGTH, str(len(response.body))))
+    return headers.without((_CONTENT_LENGTH,)).plus(
+        (_CONTENT_LENGTH, str(len(response.body)))
+    )
 
 
 @functools.lru_cache(maxsize=1)
-def _date(now: dt.datetime) -> str:
+def _format_date(now: dt.datetime) -> str:
     return format_datetime(now, usegmt=True)
 
 
-@functools.lru_cache(maxsize=_PHRASES)
-def _phrase(status: int) -> bytes:
+@functools.lru_cache(maxsize=_MAX_CACHED_PHRASES)
+def _reason_phrase(status: int) -> bytes:
     with contextlib.suppress(ValueError):
         return HTTPStatus(status).phrase.encode()
     return b''
--- a/bergamotdoor/http/_pool.py
+++ b/bergamotdoor/http/_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to upstreams, kept for the next request."""
+"""Pool of idle connections to upstreams."""
 
 from __future__ import annotations
 
@@ -15,22 +15,27 @@
     from bergamotdoor.settings.document import Address
 
 
-class _Idle(NamedTuple):
+class _IdleConnection(NamedTuple):
+    """Idle connection, and the clock's elapsed time at which it expires."""
+
     stream: Stream
     until: dt.timedelta
 
 
 class Pool:
-    """Keeps idle connections, newest first out, for a bounded time.
+    """Pool of idle connections, kept for a bounded time.
+
+    The most recently used connection is reused first.
 
     Parameters
     ----------
     clock
-        Measures how long a connection has been idle.
+        Clock that measures how long a connection has been idle.
     idle_timeout
-        How long a connection is kept.
+        How long an idle connection is kept if the upstream declares no time.
     max_idle_per_address
-        How many are kept; the oldest goes first.
+        How many idle connections are kept for each address. The oldest is
+        closed when there are more.
     """
 
     def __init__(
@@ -41,23 +46,34 @@
     ) -> None:
         self._clock = clock
         self._idle_timeout = idle_timeout
-        self._most = max_idle_per_address
-        self._idle: dict[Address, deque[_Idle]] = {}
-        self._sweeper: asyncio.Task[None] | None = None
+        self._max_idle_per_address = max_idle_per_address
+        self._idle_by_address: dict[Address, deque[_IdleConnection]] = {}
+        self._eviction_task: asyncio.Task[None] | None = None
         self._closed = False
 
     def __len__(self) -> int:
-        """Return how many idle connections are kept."""
-        return sum(len(kept) for kept in self._idle.values())
+        """Return the number of idle connections in the pool."""
+        return sum(
+            len(connections) for connections in self._idle_by_address.values()
+        )
 
     def take(self, address: Address) -> Stream | None:
-        """Return an idle connection that is open as far as is known."""
-        kept = self._idle.get(address, deque())
-        while kept:
-            idle = kept.pop()
-            if self._usable(idle):
-                return idle.stream
-            idle.stream.close()
+        """Remove an idle connection to `address` and return it.
+
+        Expired and stale connections are closed on the way.
+
+        Returns
+        -------
+        Stream or None
+            ``None`` if the pool has no usable connection. The upstream may
+            have closed the returned one without this process knowing yet.
+        """
+        connections = self._idle_by_address.get(address, deque())
+        while connections:
+            connection = connections.pop()
+            if self._is_usable(connection):
+                return connection.stream
+            connection.stream.close()
         return None
 
     def give(
@@ -66,73 +82,78 @@
         stream: Stream,
         idle_limit: dt.timedelta | None = None,
     ) -> None:
-        """Keep a connection whose last response was read to its end.
+        """Add an idle connection to the pool, or close it if it is stale.
 
         Parameters
         ----------
         address
-            The other side.
+            Address of the upstream.
         stream
-            The connection.
+            Connection on which no response is outstanding.
         idle_limit
-            How long the other side keeps it, where it told.
+            How long the upstream keeps the idle connection; ``None`` if it
+            declared no time, which selects the pool's own timeout.
         """
-        if self._closed or _spoilt(stream):
+        if self._closed or _is_stale(stream):
             stream.close()
             return
-        kept = self._idle.setdefault(address, deque())
+        connections = self._idle_by_address.setdefault(address, deque())
         until = self._clock.elapsed() + (idle_limit or self._idle_timeout)
-        kept.append(_Idle(stream, until))
-        if len(kept) > self._most:
-            kept.popleft().stream.close()
-        if self._sweeper is None:
-            self._sweeper = asyncio.create_task(self._sweep())
+        connections.append(_IdleConnection(stream, until))
+        if len(connections) > self._max_idle_per_address:
+            connections.popleft().stream.close()
+        if self._eviction_task is None:
+            self._eviction_task = asyncio.create_task(self._evict_until_empty())
 
     def distrust(self, address: Address) -> None:
-        """Close the idle connections to an upstream that went silent.
+        """Close all idle connections to an upstream that timed out.
 
-        What made one connection silent often did so to all. Each of them
-        would cost another request its whole timeout.
+        The cause that makes one connection silent often affects all
+        connections to the same address. Each of them would cost another
+        request its full timeout.
         """
-        _close_all(self._idle.pop(address, deque()))
+        _close_all(self._idle_by_address.pop(address, deque()))
 
     async def close(self) -> None:
-        """Close every kept connection, and those given from now on."""
+        """Close all idle connections, and each one that is added later."""
         self._closed = True
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-            await asyncio.gather(self._sweeper, return_exceptions=True)
-        for kept in self._idle.values():
-            _close_all(kept)
-        self._idle.clear()
-
-    async def _sweep(self) -> None:
-        # A connection that the upstream closed would hold its socket
-        # until the next request to the same address, maybe for ever.
-        while self._idle:
+        if self._eviction_task is not None:
+            self._eviction_task.cancel()
+            await asyncio.gather(self._eviction_task, return_exceptions=True)
+        for connections in self._idle_by_address.values():
+            _close_all(connections)
+        self._idle_by_address.clear()
+
+    async def _evict_until_empty(self) -> None:
+        # Without the eviction, a connection that the upstream closed would
+        # hold its socket until the next request to the same address, which
+        # may never be sent.
+        while self._idle_by_address:
             await self._clock.sleep(self._idle_timeout / 2)
-            self._drop_unusable()
-        self._sweeper = None
-
-    def _drop_unusable(self) -> None:
-        for address, kept in tuple(self._idle.items()):
-            for idle in tuple(kept):
-                if not self._usable(idle):
-                    kept.remove(idle)
-                    idle.stream.close()
-            if not kept:
-                self._idle.pop(address)
-
-    def _usable(self, idle: _Idle) -> bool:
-        return self._clock.elapsed() < idle.until and not _spoilt(idle.stream)
-
-
-def _spoilt(stream: Stream) -> bool:
-    # Bytes that came after the end of a response would be taken for the
-    # response to the next request, which may be another caller's.
+            self._evict_unusable()
+        self._eviction_task = None
+
+    def _evict_unusable(self) -> None:
+        for address, connections in tuple(self._idle_by_address.items()):
+            for connection in tuple(connections):
+                if not self._is_usable(connection):
+                    connections.remove(connection)
+                    connection.stream.close()
+            if not connections:
+                self._idle_by_address.pop(address)
+
+    def _is_usable(self, connection: _IdleConnection) -> bool:
+        return self._clock.elapsed() < connection.until and not _is_stale(
+            connection.stream
+        )
+
+
+def _is_stale(stream: Stream) -> bool:
+    # Bytes that arrive after the end of a response would be parsed as the
+    # response to the next request, which may belong to another caller.
     return stream.gone or stream.has_input
 
 
-def _close_all(unwanted: Iterable[_Idle]) -> None:
-    for idle in unwanted:
-        idle.stream.close()
+def _close_all(connections: Iterable[_IdleConnection]) -> None:
+    for connection in connections:
+        connection.stream.close()
--- a/bergamotdoor/http/_refusal.py
+++ b/bergamotdoor/http/_refusal.py
@@ -1,4 +1,4 @@
-"""Requests that the server itself turns down."""
+"""Errors and responses for requests that the server itself refuses."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 if TYPE_CHECKING:
     from bergamotdoor.http.messages import HttpResponse
 
-_RETRY_FULL_MS: Final = 1000
+_OVERLOAD_RETRY_AFTER_MS: Final = 1000
 
 
 class RefusedError(Exception):
-    """The request never reached the handler.
+    """The server refused the request before the handler was called.
 
     Parameters
     ----------
     status
-        Of the response.
+        Status of the response.
     detail
-        Names the offending value and what was expected.
+        Message that names the offending value and the expected one.
     """
 
     def __init__(self, status: int, detail: str) -> None:
@@ -32,21 +32,21 @@
 
 
 class RequestTooLargeError(BodyTooLargeError):
-    """The caller's own body is above the handler's bound."""
+    """The body of the caller's request is larger than the handler allows."""
 
 
 class RequestBrokenError(BodyBrokenError):
-    """The caller's own body was cut, malformed or too slow.
+    """The body of the caller's request was incomplete, malformed or too slow.
 
     Parameters
     ----------
     status
-        Of the response, if the handler gives none.
+        Status of the response, if the handler doesn't catch the error.
     detail
-        What was wrong.
+        Message that names the fault.
     verdict
-        NOT_RUN if the handler had asked for the whole body first, and so
-        could not have acted on it.
+        ``NOT_RUN`` if the handler waited for the complete body, and
+        therefore could not act on it.
     """
 
     def __init__(
@@ -61,7 +61,18 @@
 
 
 def refusal(status: int, detail: str, verdict: Verdict) -> HttpResponse:
-    """Return the answer to a request that broke a rule of HTTP."""
+    """Return the response to a request that violates HTTP or a limit.
+
+    Parameters
+    ----------
+    status
+        Status of the response. 408 gives the reason ``deadline``, any other
+        status ``bad-request``.
+    detail
+        Message that names the fault.
+    verdict
+        Whether the request may have run.
+    """
     reason = Reason.BAD_REQUEST
     if status == HTTPStatus.REQUEST_TIMEOUT:
         reason = Reason.DEADLINE
@@ -69,17 +80,26 @@
 
 
 def full(detail: str) -> HttpResponse:
-    """Return the answer to a connection above the bound."""
+    """Return the 503 response for a connection above the limit.
+
+    Parameters
+    ----------
+    detail
+        Message that names the limit.
+    """
     return failure_response(
-        Failure(Verdict.NOT_RUN, Reason.OVERLOADED, detail, _RETRY_FULL_MS)
+        Failure(
+            Verdict.NOT_RUN, Reason.OVERLOADED, detail, _OVERLOAD_RETRY_AFTER_MS
+        )
     )
 
 
 def response_to(error: BaseException) -> HttpResponse:
-    """Return the answer when a handler raised `error`.
+    """Return the response to a request whose handler raised `error`.
 
-    How far the handler came is unknown, so its request may have run. It
-    did not where the handler was refused the body it asked for.
+    It is unknown how far the handler got, so the request may have run. It
+    did not run if the handler failed because it could not read the complete
+    body.
     """
     if isinstance(error, RequestBrokenError):
         return refusal(error.status, str(error), error.verdict)
--- a/bergamotdoor/http/client.py
+++ b/bergamotdoor/http/client.py
@@ -1,4 +1,4 @@
-"""The HTTP client."""
+"""HTTP client with a connection pool."""
 
 from __future__ import annotations
 
@@ -23,29 +23,32 @@
     from bergamotdoor.http.messages import ClientRequest, ClientResponse
     from bergamotdoor.settings.document import Address
 
-#: Below the keep-alive of usual HTTP servers, the shortest of which is
-#: five seconds; the side that closes first avoids a lost request.
+#: Common HTTP servers keep an idle connection for at least five seconds. The
+#: client closes earlier, because a request that is sent while the server
+#: closes the connection is lost.
 _IDLE_TIMEOUT_S: Final = 4
 IDLE_TIMEOUT: Final = dt.timedelta(seconds=_IDLE_TIMEOUT_S)
 MAX_IDLE_PER_ADDRESS: Final = 32
 
-#: A refusal takes one round trip; a request waits for it before it goes on.
-_PROOF_TIMEOUT_S: Final = 0.1
+#: A refused connection takes one round trip. The bound is short because a
+#: request waits for the result.
+_PROBE_TIMEOUT_S: Final = 0.1
 
 _NO_TIME: Final = dt.timedelta()
 
 
 class HttpClient:
-    """Sends requests over pooled connections and never retries.
+    """HTTP client that uses pooled connections and never retries.
 
-    ``ClientRequest.timeout`` bounds the time from the call to the end of
-    the response's head, the request's body included, and then each pause
-    between two pieces of the response's body.
+    ``ClientRequest.timeout`` bounds the time from the call of ``send`` to
+    the end of the response's head, which includes sending the request's
+    body. It then bounds each pause between two pieces of the response's
+    body.
 
     Parameters
     ----------
     clock
-        Measures how long connections have been idle.
+        Clock that measures how long connections have been idle.
     idle_timeout
         How long an idle connection is kept.
     max_idle_per_address
@@ -62,45 +65,51 @@
 
     @property
     def idle_connections(self) -> int:
-        """How many connections wait for a next request."""
+        """Number of idle connections in the pool."""
         return len(self._pool)
 
     async def send(
         self, request: ClientRequest
     ) -> ClientResponse | ClientFailure:
-        """Send `request`; return once the response's head is read.
+        """Send `request`, and return when the response's head is read.
 
-        The failure's ``sent`` is False only if no byte of the request
-        was handed to a socket. A streamed body is closed in any case.
+        A streamed body of the request is closed in any case.
+
+        Returns
+        -------
+        ClientResponse or ClientFailure
+            A failure if no response was received. Its ``sent`` is False only
+            if no byte of the request was written to a socket.
         """
         if request.timeout <= _NO_TIME:
-            return await _not_sent(request, 'no time left')
+            return await _not_sent_failure(request, 'no time left')
         try:
             head = head_of(request)
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
-            return await _not_sent(request, error)
-        deadline = _deadline(request.timeout)
-        stream = self._pooled(request)
+            return await _not_sent_failure(request, error)
+        deadline = _deadline_after(request.timeout)
+        stream = self._acquire_pooled(request)
         reused = stream is not None
         if stream is None:
             try:
                 async with asyncio.timeout_at(deadline):
                     stream = await connect(request.address)
             except OSError as error:
-                return await _not_sent(request, error)
-        found = await self._exchange(request, head, stream, deadline)
-        if isinstance(found, ClientFailure):
-            return msgspec.structs.replace(found, reused=reused)
-        return found
+                return await _not_sent_failure(request, error)
+        result = await self._exchange(request, head, stream, deadline)
+        if isinstance(result, ClientFailure):
+            return msgspec.structs.replace(result, reused=reused)
+        return result
 
     async def refuses(self, address: Address) -> bool:
-        """Return whether connections are refused: nobody listens there.
+        """Return whether `address` refuses connections.
 
-        Silence is no refusal. A connection that opens is kept for the next
-        request.
+        A refusal means that no process listens at the address. A connection
+        attempt without an answer within 0.1 s does not count as a refusal.
+        A connection that opens is added to the pool.
         """
         try:
-            async with asyncio.timeout(_PROOF_TIMEOUT_S):
+            async with asyncio.timeout(_PROBE_TIMEOUT_S):
                 stream = await connect(address)
         except ConnectionRefusedError:
             return True
@@ -110,7 +119,7 @@
         return False
 
     async def close(self) -> None:
-        """Close every pooled connection; none is pooled from now on."""
+        """Close all pooled connections; no connection is pooled afterwards."""
         await self._pool.close()
 
     async def _exchange(
@@ -123,7 +132,7 @@
         release = functools.partial(self._pool.give, request.address)
         if stream.gone and not stream.has_input:
             stream.close()
-            return await _not_sent(request, 'closed before the request')
+            return await _not_sent_failure(request, 'closed before the request')
         call = Call(stream, request, release)
         call.write(head)
         try:
@@ -132,43 +141,45 @@
         except TimeoutError:
             call.abort()
             self._pool.distrust(request.address)
-            return _no_response(request, f'none in {request.timeout}')
+            return _no_response_failure(request, f'none in {request.timeout}')
         except (h11.RemoteProtocolError, UnclearEndError, OSError) as error:
             call.abort()
-            return _no_response(request, call.sending_error or error)
+            return _no_response_failure(request, call.sending_error or error)
         except BaseException:
             call.abort()
             raise
 
-    def _pooled(self, request: ClientRequest) -> Stream | None:
-        # An idle connection may have died silently: the request would be
-        # written, never answered, and nobody could say whether it ran.
+    def _acquire_pooled(self, request: ClientRequest) -> Stream | None:
+        # An idle connection may have lost its remote side without notice.
+        # The request would be written and never answered, and it would stay
+        # unknown whether it ran.
         if request.idempotent:
             return self._pool.take(request.address)
         return None
 
 
-def _deadline(timeout: dt.timedelta) -> float:
+def _deadline_after(timeout: dt.timedelta) -> float:
     return asyncio.get_running_loop().time() + timeout.total_seconds()
 
 
-async def _not_sent(
+async def _not_sent_failure(
     request: ClientRequest, cause: Exception | str
 ) -> ClientFailure:
     await close_body(request.body)
     return ClientFailure(
-        sent=False, detail=f'not sent to {_where(request)}: {cause!r}'
+        sent=False, detail=f'not sent to {_describe_target(request)}: {cause!r}'
     )
 
 
-def _no_response(
+def _no_response_failure(
     request: ClientRequest, cause: Exception | str
 ) -> ClientFailure:
     return ClientFailure(
-        sent=True, detail=f'no response from {_where(request)}: {cause!r}'
+        sent=True,
+        detail=f'no response from {_describe_target(request)}: {cause!r}',
     )
 
 
-def _where(request: ClientRequest) -> str:
+def _describe_target(request: ClientRequest) -> str:
     address = request.address
     return f'{address.ip}:{address.port}{request.target}'
--- a/bergamotdoor/http/connection.py
+++ b/bergamotdoor/http/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection to the server."""
+"""Connection of one caller to the server."""
 
 from __future__ import annotations
 
@@ -33,21 +33,33 @@
     )
     from bergamotdoor.settings.process import HttpLimits
 
-#: The most of an unread body that is skipped to keep a connection.
-_DRAIN_BYTES: Final = 65536
+#: The largest unread rest of a body that is discarded to reuse a connection.
+_MAX_DISCARD_BYTES: Final = 65536
 
-#: How long a caller may take to read the last response before the close.
-_LINGER: Final = dt.timedelta(seconds=1)
+#: How long input is discarded: first the rest of an unread body, then, before
+#: the close, whatever the caller sends while it reads the last response.
+_DISCARD_TIMEOUT: Final = dt.timedelta(seconds=1)
 
 _logger = logging.getLogger('bergamotdoor.http')
 
 
 class ServerConnection:
-    """Reads requests, runs the handler and writes its responses.
-
-    One task runs it and owns the socket. While a handler works, the close
-    of the other side cancels that task, so that nothing goes on for a
-    caller that is gone.
+    """Connection that reads requests, calls the handler, writes responses.
+
+    One task runs the connection and owns the socket. If the caller closes
+    the connection while a request is in progress, that task is cancelled,
+    so that no work continues for a caller that can't receive the response.
+
+    Parameters
+    ----------
+    stream
+        Connection to the caller.
+    handler
+        Handler that is called once for each request.
+    limits
+        Bounds on sizes and times.
+    clock
+        Source of the time in the ``date`` header.
     """
 
     def __init__(
@@ -65,38 +77,44 @@
         self._reader = RequestReader(stream, self._machine, limits)
         self._writer = ResponseWriter(stream, self._machine, limits, clock)
         self._flush_timeout = utils.from_ms(limits.body_timeout_ms)
-        self._ending = False
-        self._last = False
+        self._is_closing = False
+        self._is_next_response_last = False
         self._task: asyncio.Task[None] | None = None
         #: Whether a request is in progress.
         self.busy = False
-        #: How many requests it has taken.
+        #: How many requests were passed to the handler.
         self.requests = 0
 
     async def run(self) -> None:
         """Serve until either side ends the connection."""
         self._task = asyncio.current_task()
-        self._stream.watch(self._other_side_gone)
-        await self._bounded(self._serve())
+        self._stream.watch(self._cancel_request)
+        await self._run_and_close(self._serve_requests())
 
     async def refuse(self, response: HttpResponse) -> None:
-        """Write one last response and close."""
-        await self._bounded(self._end_with(response))
+        """Write `response` without reading a request, and close."""
+        await self._run_and_close(self._write_last_response(response))
 
     def end(self) -> None:
-        """Take no request after those that have begun to arrive."""
-        self._ending = True
+        """Accept no further requests.
+
+        Requests that have begun to arrive are still answered.
+        """
+        self._is_closing = True
 
     def end_after_next(self) -> None:
-        """Answer one more request, or the one in progress, and close."""
-        self._last = True
+        """Close after the next response.
+
+        That is the response to the request in progress, if there is one.
+        """
+        self._is_next_response_last = True
 
     def close_if_idle(self) -> None:
         """Close unless a request is in progress or has begun to arrive."""
         if self._reader.idle and not self._stream.has_input:
             self._stream.close()
 
-    async def _bounded(self, work: Coroutine[None, None, None]) -> None:
+    async def _run_and_close(self, work: Coroutine[None, None, None]) -> None:
         try:
             await work
         except (ConnectionError, TimeoutError):
@@ -108,77 +126,85 @@
             self.busy = False
             await self._stream.finish(self._flush_timeout)
 
-    async def _serve(self) -> None:
-        while self._may_read():
+    async def _serve_requests(self) -> None:
+        while self._may_read_request():
             try:
                 request = await self._reader.next_request()
             except RefusedError as error:
-                await self._end_with(
+                await self._write_last_response(
                     refusal(error.status, str(error), Verdict.NOT_RUN)
                 )
                 return
-            if request is None or not await self._exchange(request):
+            if request is None or not await self._handle_request(request):
                 return
 
-    def _may_read(self) -> bool:
-        ending = self._ending or self._stream.gone
-        return not ending or self._has_unread()
+    def _may_read_request(self) -> bool:
+        is_closing = self._is_closing or self._stream.gone
+        return not is_closing or self._has_unread_input()
 
-    def _has_unread(self) -> bool:
+    def _has_unread_input(self) -> bool:
         pending, _ = self._machine.trailing_data
         return bool(pending) or self._stream.has_input
 
-    async def _exchange(self, request: HttpRequest) -> bool:
+    async def _handle_request(self, request: HttpRequest) -> bool:
         self.busy = True
         self.requests += 1
-        response = await self._answer(request)
-        self._ending = self._ending or self._last
-        # A caller that still waits for leave to send its body may or may
-        # not send it after this response. The next bytes could be either
-        # body or request, so the connection ends here.
-        unsure = self._machine.they_are_waiting_for_100_continue
+        response = await self._call_handler(request)
+        self._is_closing = self._is_closing or self._is_next_response_last
+        # A caller that still waits for "100 Continue" may or may not send
+        # its body after this response. The next bytes could belong to the
+        # body or to a new request, so the connection is closed.
+        awaits_continue = self._machine.they_are_waiting_for_100_continue
         try:
             await self._writer.write(
-                response, request.method, closing=self._ending or unsure
+                response,
+                request.method,
+                closing=self._is_closing or awaits_continue,
             )
         except Exception as error:
-            _logger.info('http: response cut off: %r', error)
+            _logger.info('http: response incomplete, resetting: %r', error)
             self._stream.abort()
             return False
         self.busy = False
-        return await self._may_go_on(unsure)
+        return await self._prepare_next_request(awaits_continue)
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _call_handler(self, request: HttpRequest) -> HttpResponse:
         try:
             return await self._handler(request)
         except asyncio.CancelledError as error:
             if self._task is None or self._task.cancelling():
                 raise
-            # A task of the handler's own was cancelled, not this one.
+            # A task inside the handler was cancelled, not this task.
             return response_to(error)
         except (RequestBrokenError, RequestTooLargeError) as error:
-            self._ending = True
+            self._is_closing = True
             return response_to(error)
         except Exception as error:
             _logger.exception('http: handler failed: %s', request.target)
             return response_to(error)
 
-    async def _may_go_on(self, unsure: bool) -> bool:
-        if not unsure and not self._ending and await self._skip_rest():
+    async def _prepare_next_request(self, awaits_continue: bool) -> bool:
+        if (
+            not awaits_continue
+            and not self._is_closing
+            and await self._discard_body()
+        ):
             self._machine.start_next_cycle()
             return True
-        if self._has_unread() or not self._reader.whole:
-            await self._stream.linger(_LINGER)
+        if self._has_unread_input() or not self._reader.whole:
+            await self._stream.linger(_DISCARD_TIMEOUT)
         return False
 
-    async def _skip_rest(self) -> bool:
-        whole = await self._reader.drain(_DRAIN_BYTES, _LINGER)
-        return whole and self._machine.our_state is h11.DONE
+    async def _discard_body(self) -> bool:
+        is_complete = await self._reader.drain(
+            _MAX_DISCARD_BYTES, _DISCARD_TIMEOUT
+        )
+        return is_complete and self._machine.our_state is h11.DONE
 
-    async def _end_with(self, response: HttpResponse) -> None:
+    async def _write_last_response(self, response: HttpResponse) -> None:
         await self._writer.write(response, 'GET', closing=True)
-        await self._stream.linger(_LINGER)
+        await self._stream.linger(_DISCARD_TIMEOUT)
 
-    def _other_side_gone(self) -> None:
+    def _cancel_request(self) -> None:
         if self.busy and self._task is not None:
             self._task.cancel()
--- a/bergamotdoor/http/failures.py
+++ b/bergamotdoor/http/failures.py
@@ -1,6 +1,6 @@
-"""Responses that bergamotdoor itself makes, with their verdict.
+"""Failure responses that bergamotdoor itself produces, with a verdict.
 
-Each reason has one status, so that callers can act on either:
+Each reason has one status, so that callers can use either of them:
 
 ==============  ======
 reasons         status
@@ -12,9 +12,9 @@
 overloaded      503
 ==============  ======
 
-A generic HTTP client takes 503 as leave to repeat the request. So 503 goes
-out with the verdict ``not-run`` only; with any other verdict it turns into
-502.
+A generic HTTP client treats 503 as permission to retry the request. A 503 is
+therefore sent only with the verdict ``not-run``; with any other verdict the
+status is 502.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 RETRY_AFTER_MS_HEADER: Final = 'bergamotdoor-retry-after-ms'
 
 _MS_PER_SECOND: Final = 1000
-_JSON: Final = ('content-type', 'application/json')
+_JSON_CONTENT_TYPE: Final = ('content-type', 'application/json')
 
-_STATUSES: Final = types.MappingProxyType(
+_STATUS_BY_REASON: Final = types.MappingProxyType(
     {
         Reason.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
         Reason.BODY_TOO_LARGE: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -45,26 +45,36 @@
 
 
 class FailureBody(msgspec.Struct, frozen=True):
-    """The JSON body of a failure."""
+    """JSON body of a failure response."""
 
     reason: str
     detail: str
 
 
 def json_response(status: int, value: object) -> HttpResponse:
-    """Return `value` as JSON; whatever msgspec can encode will do."""
+    """Return a response whose body is `value` as JSON.
+
+    Parameters
+    ----------
+    status
+        Status of the response.
+    value
+        Any value that msgspec can encode.
+    """
     return HttpResponse(
         status=status,
-        headers=Headers.of([_JSON]),
+        headers=Headers.of([_JSON_CONTENT_TYPE]),
         body=msgspec.json.encode(value),
     )
 
 
 def failure_status(failure: Failure) -> int:
-    """Return the status of a failure by the module's table."""
-    status = _STATUSES.get(failure.reason, HTTPStatus.SERVICE_UNAVAILABLE)
-    repeatable = failure.verdict is Verdict.NOT_RUN
-    if status is HTTPStatus.SERVICE_UNAVAILABLE and not repeatable:
+    """Return the status for a failure, according to the module's table."""
+    status = _STATUS_BY_REASON.get(
+        failure.reason, HTTPStatus.SERVICE_UNAVAILABLE
+    )
+    may_repeat = failure.verdict is Verdict.NOT_RUN
+    if status is HTTPStatus.SERVICE_UNAVAILABLE and not may_repeat:
         status = HTTPStatus.BAD_GATEWAY
     return int(status)
 
@@ -72,25 +82,26 @@
 def failure_response(
     failure: Failure, status: int | None = None
 ) -> HttpResponse:
-    """Return the response that tells a caller of a failure.
+    """Return the response that reports a failure to a caller.
 
     Parameters
     ----------
     failure
-        What went wrong. ``retry_after_ms`` becomes ``retry-after`` in
-        whole seconds, rounded up, and ``bergamotdoor-retry-after-ms``.
+        Failure to report. Its ``retry_after_ms`` is sent twice: as
+        ``retry-after`` in whole seconds, rounded up, and unchanged as
+        ``bergamotdoor-retry-after-ms``.
     status
-        Overrides the module's table.
+        Status of the response; ``None`` selects it by the module's table.
     """
     response = json_response(
         status or failure_status(failure),
         FailureBody(failure.reason.value, failure.detail),
     )
-    response.headers = response.headers.plus(*_extra_fields(failure))
+    response.headers = response.headers.plus(*_failure_headers(failure))
     return response
 
 
-def _extra_fields(failure: Failure) -> list[tuple[str, str]]:
+def _failure_headers(failure: Failure) -> list[tuple[str, str]]:
     fields = [(VERDICT_HEADER, failure.verdict.value)]
     if failure.retry_after_ms is not None:
         seconds = -(-failure.retry_after_ms // _MS_PER_SECOND)
--- a/bergamotdoor/http/headers.py
+++ b/bergamotdoor/http/headers.py
@@ -1,4 +1,4 @@
-"""Which header fields belong to one connection only, and their bytes."""
+"""Removal of hop-by-hop header fields, and encoding of header fields."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Fields that describe one connection; each side of a hop sets its own.
+#: Fields that apply to one connection only and are not forwarded.
 HOP_BY_HOP: Final = frozenset(
     (
         'connection',
@@ -24,15 +24,21 @@
     )
 )
 
-#: Fields that ``Connection`` can't take away. Without them a request
-#: would lose its framing or its host and be read as another request.
-_KEPT: Final = frozenset(('content-length', 'host'))
+#: Fields that are forwarded even if ``Connection`` lists them. Without them a
+#: request would lose its framing or its host and be parsed as another request.
+_PROTECTED_FIELDS: Final = frozenset(('content-length', 'host'))
 
 _ENCODING: Final = 'latin-1'
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the fields that may be passed on to the next hop.
+    """Return the fields that may be forwarded to the next hop.
+
+    Parameters
+    ----------
+    headers
+        Header fields of a received message. The fields that ``Connection``
+        lists are removed, and so are the usual hop-by-hop fields.
 
     Examples
     --------
@@ -42,11 +48,13 @@
     """
     dropped = HOP_BY_HOP
     if headers.first('connection'):
-        dropped = dropped.union(_listed(headers) - _KEPT)
+        dropped = dropped.union(
+            _connection_options(headers) - _PROTECTED_FIELDS
+        )
     return Headers(field for field in headers if field.name not in dropped)
 
 
-def _listed(headers: Headers) -> set[str]:
+def _connection_options(headers: Headers) -> set[str]:
     return {
         token.strip().lower()
         for field in headers
@@ -56,19 +64,19 @@
 
 
 def decoded(pairs: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Read fields from the wire; any byte is kept as it came."""
+    """Return received fields as text; Latin-1 keeps every byte unchanged."""
     return Headers.of(
         (name.decode(_ENCODING), text.decode(_ENCODING)) for name, text in pairs
     )
 
 
 def encoded(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return the fields as bytes.
+    """Return the fields as bytes for sending.
 
     Raises
     ------
     UnicodeEncodeError
-        If a field holds a character that HTTP has no byte for.
+        If a field contains a character that Latin-1 can't encode.
     """
     return [
         (field.name.encode(_ENCODING), field.value.encode(_ENCODING))
--- a/bergamotdoor/http/messages.py
+++ b/bergamotdoor/http/messages.py
@@ -1,4 +1,4 @@
-"""What the HTTP server and client hand to the rest of the program."""
+"""Requests, responses and errors of the HTTP server and client."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Headers(tuple[Field, ...]):
-    """Header fields in order; lookups ignore case."""
+    """Header fields in order; lookups ignore the case of names."""
 
     __slots__ = ()
 
     @classmethod
     def of(cls, pairs: Iterable[tuple[str, str]]) -> Headers:
-        """Build from name and value pairs."""
+        """Return header fields for pairs of name and value."""
         return cls(Field(name.lower(), text) for name, text in pairs)
 
     def first(self, name: str, default: str = '') -> str:
-        """Return the first value of `name`, or `default`."""
+        """Return the value of the first field `name`, or `default`."""
         wanted = name.lower()
         return next(
             (field.value for field in self if field.name == wanted), default
@@ -46,18 +46,18 @@
 
 
 class BodyTooLargeError(Exception):
-    """A body grew above the reader's bound."""
+    """A body is larger than its reader allows."""
 
 
 class BodyBrokenError(Exception):
-    """The other side closed or stalled before the body was whole."""
+    """The sender closed or stalled before the body was complete."""
 
 
 class HttpRequest(msgspec.Struct, kw_only=True):
-    """A request as the server hands it to a handler.
+    """Request that the server passes to a handler.
 
-    ``body`` yields pieces as they arrive and raises BodyBrokenError when
-    the caller goes away halfway.
+    ``body`` yields pieces as they arrive. It raises ``BodyBrokenError`` if
+    the caller disconnects before the end of the body.
     """
 
     method: str
@@ -65,20 +65,34 @@
     target: str
     headers: Headers
     body: AsyncIterator[bytes]
-    #: The caller's address, for logs.
+    #: Address of the caller, for logs.
     peer: str = ''
 
     async def read_body(self, limit_bytes: int) -> bytes:
-        """Read the whole body; raise BodyTooLargeError above the limit."""
+        """Return the complete body.
+
+        Parameters
+        ----------
+        limit_bytes
+            Largest allowed body.
+
+        Raises
+        ------
+        BodyTooLargeError
+            If the body is larger than `limit_bytes`.
+        BodyBrokenError
+            If the body is incomplete.
+        """
         return await read_all(self.body, limit_bytes)
 
 
 class HttpResponse(msgspec.Struct, kw_only=True):
-    """A handler's response.
+    """Response that a handler returns.
 
-    A streamed ``body`` that raises makes the server close the connection
-    without a proper end, so that no caller takes a part for the whole.
-    The server calls ``aclose`` on it when the caller goes away.
+    If a streamed ``body`` raises an error, the server resets the connection
+    without a proper end of the body, so that the caller doesn't treat the
+    part that it received as complete. The server calls ``aclose`` on the
+    body if the caller disconnects.
     """
 
     status: int
@@ -86,15 +100,15 @@
     body: bytes | AsyncIterator[bytes] = b''
 
 
-#: Takes a request, returns the response to send.
+#: Coroutine function that receives a request and returns its response.
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 class ClientRequest(msgspec.Struct, kw_only=True):
-    """A request for the client to send.
+    """Request for the client to send.
 
-    Work that is not ``idempotent`` is sent only on a new connection or
-    on one proved alive, since an idle one may have died silently.
+    A request that is not ``idempotent`` is never sent on an idle connection,
+    because that connection may have failed without notice.
     """
 
     address: Address
@@ -104,49 +118,68 @@
     body: bytes | AsyncIterator[bytes] = b''
     timeout: dt.timedelta
     idempotent: bool = True
-    #: Whether an orderly close may end a body of no declared length. Only
-    #: where the other side's protocol says so: its crash looks the same.
+    #: Whether an orderly close of the connection may end a body without a
+    #: declared length. Set it only if the upstream's protocol defines this,
+    #: because a crash of the upstream looks the same.
     close_ends_body: bool = False
 
 
 class ClientResponse(msgspec.Struct, kw_only=True):
-    """An upstream's answer; ``body`` raises BodyBrokenError if cut.
+    """Response of an upstream.
 
-    Close ``body`` (``aclose``) to give the connection up early.
+    ``body`` raises ``BodyBrokenError`` if it is incomplete. Call its
+    ``aclose`` to reset the connection before the end of the body.
     """
 
     status: int
     headers: Headers
     body: AsyncIterator[bytes]
-    #: The request was sent before, on a connection that broke, and may have
-    #: run then whatever this answer says.
+    #: Whether the request was sent before, on a connection that failed. It
+    #: may have run then, whatever this response says.
     sent_before: bool = False
 
     async def read_body(self, limit_bytes: int) -> bytes:
-        """Read the whole body; raise BodyTooLargeError above the limit."""
+        """Return the complete body.
+
+        Parameters
+        ----------
+        limit_bytes
+            Largest allowed body.
+
+        Raises
+        ------
+        BodyTooLargeError
+            If the body is larger than `limit_bytes`.
+        BodyBrokenError
+            If the body is incomplete.
+        """
         return await read_all(self.body, limit_bytes)
 
 
 class Client(Protocol):
-    """Sends requests and never retries on its own."""
+    """Client that sends requests and never retries on its own."""
 
     async def send(
         self, request: ClientRequest
     ) -> ClientResponse | ClientFailure:
-        """Send `request`; return once the response's head is read."""
+        """Send `request`, and return when the response's head is read."""
 
     async def refuses(self, address: Address) -> bool:
-        """Return whether connections are refused: nobody listens there."""
+        """Return whether `address` refuses connections.
+
+        A refusal means that no process listens at the address.
+        """
 
     async def close(self) -> None:
-        """Close every pooled connection."""
+        """Close all pooled connections."""
 
 
 class ClientFailure(msgspec.Struct, frozen=True):
-    """No response came; ``sent`` says whether any byte may have left.
+    """Failure of a request that received no response.
 
-    ``reused`` says that the connection was an idle one: it may have been
-    closed by the other side before the request came there.
+    ``sent`` is true if any byte of the request may have left this process.
+    ``reused`` is true if the connection was an idle one from the pool, which
+    the upstream may have closed before the request arrived.
     """
 
     sent: bool
@@ -155,7 +188,20 @@
 
 
 async def read_all(body: AsyncIterator[bytes], limit_bytes: int) -> bytes:
-    """Join `body`; raise BodyTooLargeError above `limit_bytes`."""
+    """Return all pieces of `body`, joined.
+
+    Parameters
+    ----------
+    body
+        Pieces of the body.
+    limit_bytes
+        Largest allowed body.
+
+    Raises
+    ------
+    BodyTooLargeError
+        If the body is larger than `limit_bytes`.
+    """
     pieces = []
     size_bytes = 0
     async for piece in body:
--- a/bergamotdoor/http/sending.py
+++ b/bergamotdoor/http/sending.py
@@ -1,4 +1,4 @@
-"""Sends requests to upstreams over kept connections."""
+"""Sending of requests with one retry if a reused connection fails."""
 
 from __future__ import annotations
 
@@ -13,23 +13,39 @@
 async def send(
     client: Client, request: ClientRequest
 ) -> ClientResponse | ClientFailure:
-    """Send a request, once more if a kept connection was closed.
-
-    Failure: an upstream drops idle connections without notice. Symptom:
-    what is sent on one is reset, and a good upstream seems broken. Once
-    more on the next connection is enough. A request that may run only once
-    uses no kept connection, so none is ever sent twice by this.
-
-    Failure: the upstream ended under the request, which looks the same.
-    Symptom: nobody listens any more, or the next start there refuses the
-    request, and the caller is told that it did not run. What came of both
-    is told: the first may have run.
+    """Send a request, and retry it once if a reused connection failed.
+
+    Failure: an upstream closes idle connections without notice. Symptom: a
+    request on such a connection is reset, and a healthy upstream seems to
+    have failed. One retry on the next connection is enough. A request that
+    may run only once never uses a pooled connection, so it is never sent
+    twice here.
+
+    Failure: the upstream crashed while it handled the request, which looks
+    the same. Symptom: nothing listens at the address any more, or the
+    restarted upstream refuses the request, and the caller would be told that
+    the request did not run. The result therefore covers both attempts: it
+    shows that the first one may have run.
+
+    Parameters
+    ----------
+    client
+        HTTP client that makes both attempts.
+    request
+        Request to send.
+
+    Returns
+    -------
+    ClientResponse or ClientFailure
+        Result of the last attempt, except that the first failure is returned
+        if no byte of the retry was sent. ``sent_before`` of a response says
+        whether the first attempt may have reached the upstream.
     """
     first = await client.send(request)
     if not isinstance(first, ClientFailure) or not first.reused:
         return first
-    again = await client.send(request)
-    if isinstance(again, ClientResponse):
-        again.sent_before = first.sent
-        return again
-    return again if again.sent else first
+    second = await client.send(request)
+    if isinstance(second, ClientResponse):
+        second.sent_before = first.sent
+        return second
+    return second if second.sent else first
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -495,14 +495,14 @@
     Mutation(
         'a request that was sent twice may have run the first time',
         'http/sending.py',
-        'return again if again.sent else first',
-        'return again',
+        'return second if second.sent else first',
+        'return second',
         _CRASHES,
     ),
     Mutation(
         'the next incarnation does not know what the one before ran',
         'http/sending.py',
-        '        again.sent_before = first.sent\n',
+        '        second.sent_before = first.sent\n',
         '',
         _CRASHES,
     ),
