--- a/features/http_client.feature
+++ b/features/http_client.feature
@@ -1,12 +1,14 @@
 Feature: HTTP client
 
-  What the client returns is whole and belongs to its own request. Where
-  there is no response, it says whether a byte of the request may have left.
+  A response that the client returns is complete and belongs to its own
+  request. If there is no response, the client says whether any byte of the
+  request may have been sent.
 
-  Scenario Outline: a response that breaks off is not taken for a whole one
-    The upstream crashes while it answers: its machine closes the connection
-    for it, in perfect order. The client compares what came with what the
-    head declared, and refuses a head that declares nothing, or two things.
+  Scenario Outline: a truncated response is not treated as complete
+    The upstream crashes while it sends a response, and its operating system
+    closes the connection in order. The client compares the received body
+    with the length that the head declares. It refuses a head that declares
+    no length, or declares it in two ways.
 
     Given an HTTP upstream that answers with <response>
     Then the HTTP client gets <outcome>
@@ -25,10 +27,11 @@
       | sent     | HTTP/1.1 200 OK\r\nContent-Le |
       | sent     | 220 mail ready\r\n |
 
-  Scenario: a request is reported as not sent only where no byte left
-    The upstream takes a request and closes; next it takes one and says
-    nothing until the timeout of 3 s. Both may have arrived. The last one
-    finds an idle connection, but has no time left, and did not.
+  Scenario: a request is reported as not sent only if no byte was sent
+    The upstream reads the first request and closes. It also reads the second
+    one, but sends nothing until the timeout of 3 s. Both requests may have
+    arrived. The last request has no time left, so it is not sent, although
+    there is an idle connection.
 
     Given HTTP connections to an upstream that closes, then is silent, then answers all
     When the HTTP client sends, then sends, then sends, then sends with no time left
@@ -41,10 +44,11 @@
       """
     And an HTTP request to an address where nothing listens is not sent
 
-  Scenario: work that must not run twice never goes out on an idle connection
-    The idle connection has gone silent: what tracked it between the two
-    machines has lost it. A booking written to it would be neither answered
-    nor known not to have run, so it takes a new connection.
+  Scenario: a request that must not run twice is not sent on an idle connection
+    The idle connection is silent, because a device on the network path lost
+    its connection state. A booking that is written to it would not be
+    answered, and it would be unknown whether it ran. It is therefore sent on
+    a new connection.
 
     Given HTTP connections to an upstream that answers once and goes silent
     When the HTTP client sends, then sends at most once
@@ -54,10 +58,10 @@
       0.5 200 body; 2 idle
       """
 
-  Scenario: one silent connection costs one timeout, not one each
-    Several idle connections have gone silent. The first request on one of
-    them runs into its timeout; the others are closed, and the next request
-    is answered at once.
+  Scenario: several silent connections cost one timeout in all
+    Several idle connections are silent. The first request on one of them
+    times out. The client then closes the others, and the next request is
+    answered at once on a new connection.
 
     Given HTTP connections to an upstream that answers once and goes silent
     When the HTTP client sends three at once, then sends, then sends
@@ -68,9 +72,10 @@
       4.0 200 body; 1 idle
       """
 
-  Scenario Outline: an idle connection that is no good is not used
-    The upstream closed it; or a broken upstream sent one response too many,
-    which the next caller on that connection would get in place of its own.
+  Scenario Outline: a stale idle connection is not reused
+    Either the upstream has closed the connection, or a faulty upstream has
+    sent a second response to one request. The next caller on that connection
+    would receive the second response in place of its own.
 
     Given HTTP connections to an upstream that <does>
     When the HTTP client sends, then sends
@@ -82,22 +87,25 @@
     And the HTTP upstream saw 2 connections
 
     Examples:
-      | does                  |
-      | answers and closes    |
-      | answers twice for one |
-
-  Scenario: giving up a response stops the upstream's work
-    The caller is gone, or another attempt won. Whether it closes a body
-    after a piece, cancels the wait for a head, or gets no further piece in
-    time: the connection is cut, which tells the upstream, and not reused.
-
-    Then the HTTP upstream sees a close when a response is given up
-
-  Scenario: a response that comes during a long upload is delivered
-    The upstream refuses a large body and reads no more. One closes at
-    once, so that the upload breaks; one keeps the upload waiting for
-    longer than the timeout while its answer comes in pieces. The caller
-    sees the whole refusal both times, not a broken connection.
+      | does                      |
+      | answers and closes        |
+      | answers one request twice |
+
+  Scenario: abandoning a response closes the connection to the upstream
+    A response is abandoned if its caller has disconnected or another attempt
+    has succeeded. In the three cases here, the body is closed after its first
+    piece, the wait for the head is cancelled, or the next piece does not
+    arrive in time. Each time the client resets the connection, so that the
+    upstream can stop its work, and does not reuse it.
+
+    Then the HTTP upstream sees a close when a response is abandoned
+
+  Scenario: a response that arrives during a long upload is delivered
+    The upstream refuses a large body and stops reading. The first connection
+    closes at once, so that the upload fails. The second one blocks the
+    upload for longer than the timeout, while the response arrives in pieces.
+    Both times the caller receives the complete refusal and no connection
+    error.
 
     Given HTTP connections to an upstream that refuses and closes, then refuses slowly
     When the HTTP client uploads, then uploads
@@ -107,13 +115,13 @@
       4.5 413 body; 0 idle
       """
 
-  Scenario: a request body that breaks off is not taken for a whole one
-    The caller goes away halfway through its upload. The upstream sees the
-    connection break, never the end of the body.
+  Scenario: a truncated request body is not sent as complete
+    The caller disconnects halfway through its upload. The upstream sees a
+    reset of the connection, and never the end of the body.
 
-    Then the HTTP upstream sees no end of an upload that breaks
+    Then the HTTP upstream sees no end of an incomplete upload
 
-  Scenario: idle connections close after their time
+  Scenario: idle connections close after the idle timeout
     Given HTTP connections to an upstream that answers all
     When the HTTP client sends, then waits 5 s
     Then the HTTP outcomes are
--- a/features/http_exchange.feature
+++ b/features/http_exchange.feature
@@ -1,16 +1,18 @@
-Feature: HTTP exchanges under concurrency and under bad input
+Feature: HTTP exchanges under concurrency and with malformed input
 
-  Scenario: no caller gets another caller's answer
-    Many callers share the client's connections. Some read their answer late,
-    some read half of it, some give up while the upstream works. Whatever
-    the order, a caller that reads to the end gets its own whole answer.
-    Nothing is left running or open for those that gave up.
+  Scenario: no caller gets another caller's response
+    Many callers share the client's connections. Some read their response
+    late, some read half of it, and some cancel the request while the upstream
+    works on it. In any order of these events, a caller that reads to the end
+    gets its own complete response. No task keeps running and no connection
+    stays open for the callers that stopped early.
 
     Then each HTTP caller that reads to the end gets its own answer
 
-  Scenario: random bytes neither hang the server nor reach other callers
-    A broken caller sends pieces of requests, mutated or not, with pauses.
-    It gets well-formed answers and the close, and its connection ends
-    within the timeouts. Another caller is answered at once all the time.
+  Scenario: random bytes neither block the server nor affect other callers
+    A faulty caller sends random bytes and pieces of requests, with pauses.
+    It receives only well-formed responses, and its connection is closed
+    within the timeouts. Throughout, each request of another caller is
+    answered at once.
 
-    Then random bytes end their HTTP connection and reach no other caller
+    Then random bytes close their own HTTP connection and affect no other caller
--- a/features/http_failures.feature
+++ b/features/http_failures.feature
@@ -1,6 +1,6 @@
-Feature: HTTP responses that tell of a failure
+Feature: HTTP responses that report a failure
 
-  Scenario Outline: each reason has its status
+  Scenario Outline: each reason has one status
     Given an HTTP failure <reason> with the verdict <verdict>
     Then its HTTP status is <status>
 
@@ -14,11 +14,11 @@
       | overloaded          | not-run      | 503    |
 
   Scenario: 503 always means that the request did not run
-    A caller's library repeats a request after 503 on its own. A booking
-    that may have run would then be made twice.
+    HTTP libraries retry a request after 503 without a decision of the
+    caller. A booking that may have run would then be made twice.
 
-    Then no HTTP failure of any reason has 503 unless it was not run
+    Then no HTTP failure has the status 503 unless its verdict is not-run
 
-  Scenario: the time to come back is told in whole seconds and exactly
-    Given an HTTP failure to be repeated after 1001 ms
-    Then it has the HTTP headers retry-after 2 and exactly 1001
+  Scenario: the retry delay is sent in whole seconds and in milliseconds
+    Given an HTTP failure to be retried after 1001 ms
+    Then its HTTP headers give the delay as 2 s and as 1001 ms
--- a/features/http_rig.py
+++ b/features/http_rig.py
@@ -1,7 +1,7 @@
 """Callers, a server and scripted upstreams for the HTTP features.
 
-Everything that can be seen goes into notes: one line each, with the virtual
-time in seconds first.
+All observable events are recorded as notes. A note is one line that begins
+with the virtual time in seconds.
 """
 
 from __future__ import annotations
@@ -44,15 +44,15 @@
     max_connections=3,
 )
 
-DRAIN = dt.timedelta(seconds=4)
+DRAIN_TIMEOUT = dt.timedelta(seconds=4)
 
 logging.getLogger('bergamotdoor.http').addHandler(logging.NullHandler())
 logging.getLogger('bergamotdoor.http').propagate = False
 warnings.filterwarnings('ignore', message='Ignoring socket option')
 
 
-def run_clean(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run `work` in virtual time; no task may be left behind."""
+def run_without_leftover_tasks(work: Coroutine[Any, Any, Result]) -> Result:
+    """Run `work` in virtual time; fail if it leaves tasks running."""
 
     async def watched() -> Result:
         outcome = await work
@@ -64,8 +64,11 @@
     return run_virtual(watched())
 
 
-def literal(text: str) -> bytes:
-    """Expand escapes, and ``(a x 3)`` to ``aaa``."""
+def expand_bytes(text: str) -> bytes:
+    """Return the bytes of `text` with its escapes expanded.
+
+    ``(a x 3)`` stands for ``aaa``.
+    """
     expanded = re.sub(
         r'\((\w) x (\d+)\)',
         lambda match: match.group(1) * int(match.group(2)),
@@ -75,14 +78,17 @@
 
 
 class Notes(list[str]):
-    """What was seen, each with its time."""
+    """Observed events, each with the time at which it was observed."""
 
     def note(self, event: str) -> None:
         self.append(f'{asyncio.get_running_loop().time():.1f} {event}')
 
 
 class Caller:
-    """Writes any bytes; notes each whole response and the close."""
+    """Caller that sends arbitrary bytes.
+
+    Each complete response and the close of the connection are noted.
+    """
 
     def __init__(self, name: str, notes: Notes) -> None:
         self.name = name
@@ -117,10 +123,10 @@
         self.notes.note(f'{self.name} closed{part}')
 
     def take(self, received: bytes, ended: bool) -> bytes:
-        """Note the whole responses in `received`; return the rest."""
+        """Note the complete responses in `received`; return the rest."""
         while received:
             method = self.methods[0] if self.methods else 'GET'
-            response = parse(received, method, ended)
+            response = parse_response(received, method, ended)
             if response is None:
                 return received
             if response.status >= 200:
@@ -132,7 +138,7 @@
 
 
 class Parsed(NamedTuple):
-    """A whole response, and the bytes after it."""
+    """Complete response, and the bytes after it."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -140,7 +146,12 @@
     rest: bytes
 
     def summary(self) -> str:
-        """Name status, verdict, a short body, and what else matters."""
+        """Return the words by which a note describes the response.
+
+        These are the status, verdict, ``retry-after``, a short body of a
+        200 response, whether there is a length without a body, and whether
+        the connection closes.
+        """
         verdict = self.headers.get(b'bergamotdoor-verdict', b'')
         retry_s = self.headers.get(b'retry-after', b'')
         parts = [str(self.status), verdict.decode()]
@@ -155,8 +166,20 @@
         return ' '.join(part for part in parts if part)
 
 
-def parse(received: bytes, method: str, ended: bool) -> Parsed | None:
-    """Return the first response in `received` if it is whole."""
+def parse_response(received: bytes, method: str, ended: bool) -> Parsed | None:
+    """Return the first response in `received`.
+
+    The result is ``None`` if that response is incomplete or malformed.
+
+    Parameters
+    ----------
+    received
+        All bytes that no earlier response has used.
+    method
+        Method of the request.
+    ended
+        Whether the connection has ended.
+    """
     machine = h11.Connection(h11.CLIENT)
     machine.send(
         h11.Request(method=method, target='/', headers=[('host', 'a')])
@@ -166,7 +189,7 @@
     if ended:
         machine.receive_data(b'')
     try:
-        events = list(events_of(machine))
+        events = list(response_events(machine))
     except h11.RemoteProtocolError:
         return None
     if events[-1] is h11.NEED_DATA:
@@ -182,8 +205,11 @@
     )
 
 
-def events_of(machine: h11.Connection) -> Iterator[Any]:
-    """Yield events up to the end of one response."""
+def response_events(machine: h11.Connection) -> Iterator[Any]:
+    """Yield the events of the first response, up to its end.
+
+    If the response is incomplete, the last event is ``h11.NEED_DATA``.
+    """
     last = (h11.EndOfMessage, h11.InformationalResponse)
     event: Any = machine.next_event()
     while event is not h11.NEED_DATA and not isinstance(event, last):
@@ -193,13 +219,14 @@
 
 
 class Play:
-    """Runs the lines of a scenario on one timeline.
-
-    ``wait 500`` (milliseconds), ``turn 2`` (turns of the event loop),
-    ``stop`` (the server, with four seconds to drain), ``count`` (notes the
-    open connections), and for a caller ``a``: ``a connects``,
-    ``a sends BYTES``, ``a trickles BYTES`` (a byte each 200 ms, while the
-    play goes on), ``a stops reading``, ``a closes``.
+    """Runs the lines of a scenario's script one after another.
+
+    The lines are ``wait 500`` (milliseconds), ``turn 2`` (turns of the event
+    loop), ``stop`` (stops the server in the background, with four seconds to
+    drain), and ``count`` (notes the number of open connections). The lines
+    for a caller ``a`` are ``a connects``, ``a sends BYTES``,
+    ``a trickles BYTES`` (sends a byte every 200 ms in the background),
+    ``a stops reading`` and ``a closes``.
     """
 
     def __init__(self, handler: Handler, notes: Notes) -> None:
@@ -216,7 +243,7 @@
         await asyncio.gather(*self.tasks)
         for caller in self.callers.values():
             await caller.close()
-        await self.server.stop(DRAIN)
+        await self.server.stop(DRAIN_TIMEOUT)
         assert self.server.connections == 0, self.server.state
 
     async def run(self, lines: str) -> None:
@@ -237,7 +264,7 @@
             await self.call(who, what, more)
 
     async def stop(self) -> None:
-        await self.server.stop(DRAIN)
+        await self.server.stop(DRAIN_TIMEOUT)
         self.notes.note('stopped')
 
     async def call(self, name: str, what: str, more: str) -> None:
@@ -246,10 +273,10 @@
             await self.callers[name].connect()
         caller = self.callers[name]
         if what == 'sends':
-            caller.send(literal(more))
+            caller.send(expand_bytes(more))
         elif what == 'trickles':
             self.tasks.append(
-                asyncio.create_task(trickle(caller, literal(more)))
+                asyncio.create_task(send_slowly(caller, expand_bytes(more)))
             )
         elif what == 'stops':
             caller.stop_reading()
@@ -257,8 +284,8 @@
             await caller.close()
 
 
-async def trickle(caller: Caller, sent: bytes) -> None:
-    """Send a byte each 200 ms until the other side closes."""
+async def send_slowly(caller: Caller, sent: bytes) -> None:
+    """Send a byte every 200 ms until the server closes the connection."""
     for byte in sent:
         if not caller.collecting.done():
             caller.send(bytes([byte]))
@@ -266,7 +293,10 @@
 
 
 class Upstream:
-    """Plays one script for each connection; the last one repeats."""
+    """Upstream that runs one script for each connection.
+
+    Connections after the last script repeat the last script.
+    """
 
     def __init__(
         self,
@@ -279,7 +309,7 @@
 
     @property
     def seen(self) -> int:
-        """How many connections there were."""
+        """Number of connections that the upstream has accepted."""
         return len(self.tasks)
 
     async def __aenter__(self) -> Upstream:
@@ -311,8 +341,8 @@
 
 
 @contextlib.asynccontextmanager
-async def calling() -> AsyncIterator[HttpClient]:
-    """Run a client."""
+async def open_client() -> AsyncIterator[HttpClient]:
+    """Open an HTTP client, and close it at the end of the block."""
     client = HttpClient(virtual_clock())
     try:
         yield client
--- a/features/http_server.feature
+++ b/features/http_server.feature
@@ -1,17 +1,19 @@
 Feature: HTTP server
 
-  A caller gets its whole answer, or sees that it did not. What the server
-  itself turns down says so with a verdict that holds. The bounds here: a
-  header of 2,000 bytes and 1 s, pauses of 2 s in a body, 5 s idle, three
-  connections.
-
-  Scenario Outline: a request that breaks a rule is refused and not run
-    The caller sees one response with its verdict, and the close. The rule
-    is checked on the head, before the handler is called; the connection
-    ends because the start of a next request can't be trusted.
+  A caller receives its complete response, or an error that shows that the
+  response is incomplete. If the server itself refuses a request, the response
+  has the correct verdict. The limits in these scenarios are a header of 2,000
+  bytes that arrives within 1 s, pauses of 2 s in a body, 5 s for an idle
+  connection, and three connections.
+
+  Scenario Outline: a request that violates a rule is refused and does not run
+    The caller receives one response with a verdict, and the connection is
+    closed, because the start of a next request can't be found reliably. The
+    head is checked before the handler is called. The body is checked while the
+    handler reads it.
 
     Given an HTTP handler that echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends <request>
       wait 4000
@@ -45,13 +47,14 @@
       | 408    | 1.0 | GET / HTTP/1.1\r\nHost |
       | 408    | 2.0 | POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nab |
 
-  Scenario: a slow caller doesn't hold up another
-    One caller sends a byte of its header every 200 ms: no pause is long, the
-    whole takes too long. It is cut off with 408, while another caller's
-    requests are answered at once before and after.
+  Scenario: a slow caller doesn't delay other callers
+    One caller sends a byte of its header every 200 ms. Each pause is short, but
+    the complete header takes too long, so the caller gets a 408 and its
+    connection is closed. The requests of another caller are answered at once
+    before and after that.
 
     Given an HTTP handler that echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a trickles GET /a HTTP/1.1\r\nHost: a\r\n\r\n
       wait 500
@@ -70,13 +73,13 @@
       1.2 b got 200 /two
       """
 
-  Scenario: connections above the bound are refused
-    All three connections are taken. The fourth caller sees 503, not run, and
-    the close, without having been read. Once one of the three has gone,
-    a new one is served.
+  Scenario: connections above the limit are refused
+    Three connections are open, which is the limit. The fourth caller gets a
+    503 with the verdict not-run and a close; its request is not read. After
+    one of the three callers closes, a new connection is served.
 
     Given an HTTP handler that echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a connects
       b connects
@@ -97,13 +100,14 @@
       0.3 e got 200 /e
       """
 
-  Scenario: a handler that raises may have run
-    The caller sees 500 with may-have-run, since nobody knows how far the
-    handler came, and the connection goes on with the next request. So too
-    where a task of the handler's own was cancelled, and not the handler.
+  Scenario: a request whose handler raises an error may have run
+    The caller gets a 500 with the verdict may-have-run, because it is unknown
+    how far the handler got. The connection stays open for the next request.
+    The same response is sent if a task inside the handler was cancelled, and
+    not the handler itself.
 
     Given an HTTP handler that raises, is cancelled inside, and echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends GET /one HTTP/1.1\r\nHost: a\r\n\r\n
       a sends GET /two HTTP/1.1\r\nHost: a\r\n\r\n
@@ -119,11 +123,11 @@
       """
 
   Scenario: a response header can't smuggle a second response
-    An upstream's header value holds a line break and a second response. The
-    caller sees a 500 in place of two responses where it had asked once.
+    A header value of an upstream contains a line break and a second response.
+    The caller gets one 500 instead of two responses to one request.
 
     Given an HTTP handler that returns a line break in a header
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends GET / HTTP/1.1\r\nHost: a\r\n\r\n
       wait 100
@@ -133,14 +137,15 @@
       0.0 a got 500 may-have-run
       """
 
-  Scenario Outline: a response that breaks off is not taken for a whole one
-    The handler's body raises halfway. The caller sees the connection close
-    without the last chunk, or without a response, so that its library
-    reports a broken one. HTTP/1.0 marks the end of a body by the close
-    alone; so the server collects it and would declare its length.
+  Scenario Outline: a truncated response is not treated as complete
+    The streamed body of the handler raises an error halfway. The caller sees
+    a close without the last chunk, or without any response, so its HTTP
+    library reports an error. In HTTP/1.0 only the close marks the end of a
+    streamed body. For such callers the server collects the complete body
+    first, and declares its length if there was no error.
 
     Given an HTTP handler that streams a piece and <then>
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends GET / HTTP/<version>\r\nHost: a\r\n\r\n
       wait 100
@@ -157,13 +162,13 @@
       | 1.0     | raises | 0.0 raising                 | 0.0 a closed           |
       | 1.0     | ends   | 0.0 a got 200 piece closing | 0.0 a closed           |
 
-  Scenario: work stops when its caller goes away
-    The caller closes while the handler waits. The handler is cancelled at
-    once, without a byte having to be written; a pipelined second request
+  Scenario: a handler is cancelled when its caller disconnects
+    The caller closes the connection while the handler waits. The handler is
+    cancelled at once, before any attempt to write. A pipelined second request
     does not count as a close.
 
     Given an HTTP handler that waits
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends GET /one HTTP/1.1\r\nHost: a\r\n\r\n
       wait 500
@@ -178,12 +183,12 @@
       1.5 cancelled
       """
 
-  Scenario: a streamed body stops when its caller goes away
-    The caller closes in the middle of a stream. The body is closed, so that
-    the upstream's work behind it stops.
+  Scenario: a streamed body is closed when its caller disconnects
+    The caller closes the connection in the middle of a stream. The server
+    closes the body, so that the upstream that produces it can stop.
 
     Given an HTTP handler that streams a piece and waits
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends GET / HTTP/1.1\r\nHost: a\r\n\r\n
       wait 1000
@@ -195,13 +200,13 @@
       1.0 body closed
       """
 
-  Scenario: a body that breaks off is told as such before the handler ends
-    The caller closes halfway through its own body while the handler waits
-    for more. The handler sees BodyBrokenError first, and is cancelled at
-    its next wait, so that it can't go on for nobody.
+  Scenario: a handler sees that a body is incomplete before it is cancelled
+    The caller closes the connection halfway through its own body while the
+    handler waits for more. The handler first gets a BodyBrokenError. It is
+    cancelled at its next wait, so that it does not continue without a caller.
 
     Given an HTTP handler that reads piece by piece and then waits
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf
       wait 1000
@@ -215,13 +220,13 @@
       1.0 then cancelled
       """
 
-  Scenario: a caller that doesn't read is cut off
-    A caller asks for an endless stream and reads nothing. The server takes
-    only so much from the body as fits the socket's buffers, waits for the
-    body timeout and cuts the connection.
+  Scenario: a caller that doesn't read is disconnected
+    A caller requests an endless stream and reads nothing. The server reads
+    no more of the body than fits into the socket's buffers. It waits for the
+    body timeout and resets the connection.
 
     Given an HTTP handler that streams without end
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a stops reading
       a sends GET / HTTP/1.1\r\nHost: a\r\n\r\n
@@ -236,15 +241,15 @@
       2.0 body closed
       2.2 0 open
       """
-    And the HTTP handler's stream gave less than 400000 bytes
+    And the HTTP handler's stream yielded less than 400000 bytes
 
-  Scenario: a caller that doesn't read its last response is cut off
-    A response fits the socket's buffers, so its last write succeeds at
-    once. The caller never reads it. The server waits for the body timeout,
-    not for ever, and cuts the connection.
+  Scenario: a caller that doesn't read its last response is disconnected
+    The response fits into the socket's buffers, so its last write succeeds at
+    once. The caller never reads the response. The server waits no longer than
+    the body timeout, and resets the connection.
 
     Given an HTTP handler that returns 120 kB
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a stops reading
       a sends GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n
@@ -259,13 +264,14 @@
       2.1 0 open
       """
 
-  Scenario: a caller that trickles a body nobody wants is cut off
-    The handler answered without reading the body. The server skips a short
-    rest to keep the connection, for a second; then it closes its side and
-    gives the caller another second to read the response.
+  Scenario: a caller that slowly sends a body that is not read is disconnected
+    The handler responds without reading the body. To reuse the connection,
+    the server discards a short rest of the body for up to a second. It then
+    closes its own side, and the caller has another second to read the
+    response.
 
     Given an HTTP handler that answers without reading
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n
       a trickles (x x 12)
@@ -282,13 +288,14 @@
       2.1 0 open
       """
 
-  Scenario: leave to send a body is given when the handler wants it
-    Callers wait for 100 before they send their body. One gets it when the
-    handler reads, after a second. The other gets an answer from a handler
-    that didn't read, and the close, since the body may or may not follow.
+  Scenario: 100 Continue is sent when the handler reads the body
+    Callers wait for the status 100 before they send their body. The first
+    caller gets it when the handler reads the body, after a second. The second
+    caller gets the response of a handler that did not read the body. Its
+    connection is closed, because the body may or may not follow.
 
     Given an HTTP handler that waits 1 s and refuses or echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends POST /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n
       b sends POST /refuse HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n
@@ -307,7 +314,7 @@
 
   Scenario: HEAD has no body and keeps the connection
     Given an HTTP handler that echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends HEAD /one HTTP/1.1\r\nHost: a\r\n\r\n
       a sends GET /two HTTP/1.1\r\nHost: a\r\n\r\n
@@ -321,9 +328,9 @@
       0.0 a got 200 /two
       """
 
-  Scenario: fields of one connection are not passed on
-    Given an HTTP handler that passes on what it got
-    When HTTP callers play
+  Scenario: hop-by-hop header fields are not forwarded
+    Given an HTTP handler that returns hop-by-hop fields
+    When HTTP callers run this script
       """
       a sends GET / HTTP/1.1\r\nHost: a\r\nConnection: x-private\r\nX-Private: 1\r\nKeep-Alive: 5\r\nX-Public: 2\r\n\r\n
       wait 100
@@ -333,15 +340,16 @@
       0.0 ran with host x-public
       0.0 a got 200
       """
-    And HTTP caller a got x-public of x-public, x-private and keep-alive
+    And HTTP caller a got x-public, but neither x-private nor keep-alive
 
-  Scenario: a graceful stop cuts off nothing in progress
-    One caller is idle, one waits for its response, one is halfway through
-    its header. On stop the idle one is closed at once, the others get whole
-    answers that announce the close, and the stop ends with the last.
+  Scenario: a graceful stop completes the requests in progress
+    One caller is idle, one waits for its response, and one is halfway through
+    its header. At the stop, the idle connection is closed at once. The other
+    callers get complete responses that announce the close. The stop ends
+    after the last response.
 
     Given an HTTP handler that waits 1 s and refuses or echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a connects
       b sends GET /b HTTP/1.1\r\nHost: a\r\n\r\n
@@ -365,11 +373,11 @@
       """
 
   Scenario Outline: a request that arrives as the server stops is answered
-    Its bytes have reached the machine but not the process when the stop
-    begins. A close of the seemingly idle connection would lose it.
+    The bytes of the request have reached the kernel but not the process when
+    the stop begins. A close of the seemingly idle connection would lose them.
 
     Given an HTTP handler that echoes
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a connects
       wait 100
@@ -393,12 +401,12 @@
       | stop                                      | turn 1                                    | a sends GET /a HTTP/1.1\r\nHost: a\r\n\r\n |
       | stop                                      | turn 2                                    | a sends GET /a HTTP/1.1\r\nHost: a\r\n\r\n |
 
-  Scenario: a stop doesn't wait for ever
-    A handler takes longer than the drain time. It is cancelled and its
-    connection cut when the drain time is over.
+  Scenario: a stop ends after the drain timeout
+    A handler takes longer than the drain timeout. When the timeout is over,
+    the handler is cancelled and its connection is closed.
 
     Given an HTTP handler that waits
-    When HTTP callers play
+    When HTTP callers run this script
       """
       a sends GET /a HTTP/1.1\r\nHost: a\r\n\r\n
       wait 1000
--- a/features/steps/http_exchange_steps.py
+++ b/features/steps/http_exchange_steps.py
@@ -20,7 +20,13 @@
 )
 from bergamotdoor.http.server import HttpServer
 from bergamotdoor.settings.process import HttpLimits
-from features.http_rig import ADDRESS, Notes, Play, calling, run_clean
+from features.http_rig import (
+    ADDRESS,
+    Notes,
+    Play,
+    open_client,
+    run_without_leftover_tasks,
+)
 from lab.virtual import virtual_clock
 
 if TYPE_CHECKING:
@@ -31,12 +37,15 @@
     Pieces = list[tuple[int, bytes]]
 
 
-def try_all(
+def run_examples(
     examples: int,
     strategy: st.SearchStrategy[Any],
     work: Callable[[Any], Coroutine[Any, Any, int]],
 ) -> int:
-    """Run `work` on the same examples every time; add up its results."""
+    """Run `work` on generated examples, and return the sum of its results.
+
+    Every run uses the same examples.
+    """
     counts = []
 
     @hypothesis.settings(
@@ -49,14 +58,14 @@
     )
     @hypothesis.given(strategy)
     def run(example: Any) -> None:
-        counts.append(run_clean(work(example)))
+        counts.append(run_without_leftover_tasks(work(example)))
 
     run()
     return sum(counts)
 
 
 class End(enum.Enum):
-    """How a caller treats its answer."""
+    """What a caller does with its response."""
 
     READ = 'read'
     HALF = 'half'
@@ -65,7 +74,12 @@
 
 
 class Plan(NamedTuple):
-    """What one caller does; times in milliseconds."""
+    """Actions of one caller.
+
+    ``start``, ``work`` and ``pause`` are in milliseconds: the delay before
+    the request, the time for which the handler works, and the pause before
+    the caller reads the response (or before it cancels the request).
+    """
 
     start: int
     work: int
@@ -80,7 +94,7 @@
         return f'/{self.work}/{self.repeats}/{self.streamed}'
 
 
-PLANS = st.lists(
+PLAN_LISTS = st.lists(
     st.builds(
         Plan,
         start=st.integers(0, 60),
@@ -96,26 +110,30 @@
 )
 
 
-async def answer(asked: HttpRequest) -> HttpResponse:
-    """Repeat the target as it says."""
-    await asked.read_body(1_000)
-    work, repeats, streamed = asked.target.split('/')[2:]
+async def repeat_target(request: HttpRequest) -> HttpResponse:
+    """Return the request's target, repeated, in the way the target says.
+
+    The target contains the handler's time in milliseconds, the number of
+    repetitions, and whether the response is streamed.
+    """
+    await request.read_body(1_000)
+    work, repeats, streamed = request.target.split('/')[2:]
     await asyncio.sleep(int(work) / 1000)
-    body = f'{asked.target};'.encode() * int(repeats)
+    body = f'{request.target};'.encode() * int(repeats)
     if streamed == 'False':
         return HttpResponse(status=200, body=body)
-    return HttpResponse(status=200, body=in_pieces(body))
+    return HttpResponse(status=200, body=split_body(body))
 
 
-async def in_pieces(body: bytes) -> AsyncIterator[bytes]:
+async def split_body(body: bytes) -> AsyncIterator[bytes]:
     size = len(body) // 3 + 1
     for start in range(0, len(body), size):
         yield body[start : start + size]
         await asyncio.sleep(0.003)
 
 
-async def follow(client: HttpClient, number: int, plan: Plan) -> bool:
-    """Carry out a plan; return whether the answer was read whole."""
+async def run_plan(client: HttpClient, number: int, plan: Plan) -> bool:
+    """Run a caller's plan; return whether it read the complete response."""
     await asyncio.sleep(plan.start / 1000)
     target = f'/{number}{plan.target}'
     sending = client.send(
@@ -129,7 +147,8 @@
         )
     )
     if plan.end is End.CANCEL:
-        # The response may come in the same moment, and is dropped then.
+        # The response may arrive at the moment of the timeout; it is then
+        # discarded without being closed.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(plan.pause / 1000):
                 await sending
@@ -147,24 +166,26 @@
     return False
 
 
-async def share(plans: list[Plan]) -> int:
-    """Run the plans side by side; return how many answers were read."""
-    server = HttpServer(ADDRESS, answer, HttpLimits(), virtual_clock())
+async def run_plans(plans: list[Plan]) -> int:
+    """Run the plans concurrently; return how many responses were read."""
+    server = HttpServer(ADDRESS, repeat_target, HttpLimits(), virtual_clock())
     await server.start()
-    async with calling() as client:
-        read = await asyncio.gather(
-            *(follow(client, *numbered) for numbered in enumerate(plans))
+    async with open_client() as client:
+        read_whole = await asyncio.gather(
+            *(run_plan(client, *numbered) for numbered in enumerate(plans))
         )
     await server.stop(dt.timedelta(seconds=1))
     await asyncio.sleep(0.1)
     loop: Any = asyncio.get_running_loop()
-    assert all(kept.is_closing() for kept in loop._transports.values())
-    return sum(read)
+    assert all(
+        transport.is_closing() for transport in loop._transports.values()
+    )
+    return sum(read_whole)
 
 
 @then('each HTTP caller that reads to the end gets its own answer')
-def shared(_: Any) -> None:
-    read = try_all(150, PLANS, share)
+def callers_get_own_answers(_: Any) -> None:
+    read = run_examples(150, PLAN_LISTS, run_plans)
     assert read > 100, read
 
 
@@ -190,8 +211,9 @@
         ]
     ),
 )
-#: Pauses in milliseconds, what is sent after them, and whether to close.
-SCRIPTS = st.tuples(
+#: A list of pauses in milliseconds, each with the bytes that are sent after
+#: it, and whether the caller closes the connection at the end.
+RANDOM_SCRIPTS = st.tuples(
     st.lists(
         st.tuples(st.sampled_from([0, 0, 1, 700, 2_500]), PIECES),
         min_size=1,
@@ -201,22 +223,26 @@
 )
 
 
-async def echo(asked: HttpRequest) -> HttpResponse:
-    body = await asked.read_body(1_000)
-    return HttpResponse(status=200, body=asked.target.encode() + body)
+async def echo(request: HttpRequest) -> HttpResponse:
+    body = await request.read_body(1_000)
+    return HttpResponse(status=200, body=request.target.encode() + body)
+
 
+async def send_random_bytes(script: tuple[Pieces, bool]) -> int:
+    """Run a broken caller's script while another caller sends requests.
 
-async def disturb(script: tuple[Pieces, bool]) -> int:
-    """Send a script beside a good caller; return how often that asked."""
+    The other caller sends one request for each piece, and must be answered
+    at once. Return the number of its requests.
+    """
     pieces, closing = script
     notes = Notes()
     async with Play(echo, notes) as play:
         await play.run('a connects\nb connects')
-        bad = play.callers['a']
+        broken_caller = play.callers['a']
         for count, (pause, piece) in enumerate(pieces, start=1):
             await asyncio.sleep(pause / 1000)
-            if not bad.collecting.done():
-                bad.send(piece)
+            if not broken_caller.collecting.done():
+                broken_caller.send(piece)
             play.callers['b'].send(b'GET /b HTTP/1.1\r\nHost: a\r\n\r\n')
             await asyncio.sleep(0.001)
             served = [note for note in notes if note.endswith('b got 200 /b')]
@@ -229,7 +255,7 @@
     return len(pieces)
 
 
-@then('random bytes end their HTTP connection and reach no other caller')
-def disturbed(_: Any) -> None:
-    asked = try_all(600, SCRIPTS, disturb)
-    assert asked > 600, asked
+@then('random bytes close their own HTTP connection and affect no other caller')
+def random_bytes_reach_no_other(_: Any) -> None:
+    count = run_examples(600, RANDOM_SCRIPTS, send_random_bytes)
+    assert count > 600, count
--- a/features/steps/http_failures_steps.py
+++ b/features/steps/http_failures_steps.py
@@ -18,7 +18,7 @@
 
 
 @given('an HTTP failure {reason} with the verdict {verdict}')
-def failure_of(context: Any, reason: str, verdict: str) -> None:
+def failure_with_verdict(context: Any, reason: str, verdict: str) -> None:
     context.failure = Failure(Verdict(verdict), Reason(reason), 'why')
 
 
@@ -34,22 +34,22 @@
     assert failure_response(failure, 412).status == 412
 
 
-@then('no HTTP failure of any reason has 503 unless it was not run')
-def repeatable(_: Any) -> None:
+@then('no HTTP failure has the status 503 unless its verdict is not-run')
+def only_not_run_is_unavailable(_: Any) -> None:
     for verdict, reason in itertools.product(Verdict, Reason):
         status = failure_response(Failure(verdict, reason)).status
         assert verdict is Verdict.NOT_RUN or status != 503, reason
 
 
-@given('an HTTP failure to be repeated after {retry_after_ms:d} ms')
-def repeated_after(context: Any, retry_after_ms: int) -> None:
+@given('an HTTP failure to be retried after {retry_after_ms:d} ms')
+def failure_with_retry_delay(context: Any, retry_after_ms: int) -> None:
     context.failure = Failure(
         Verdict.NOT_RUN, Reason.OVERLOADED, '', retry_after_ms
     )
 
 
-@then('it has the HTTP headers retry-after {seconds} and exactly {exact}')
-def retry_headers(context: Any, seconds: str, exact: str) -> None:
+@then('its HTTP headers give the delay as {seconds} s and as {delay_ms} ms')
+def retry_headers(context: Any, seconds: str, delay_ms: str) -> None:
     headers = failure_response(context.failure).headers
     assert headers.first('retry-after') == seconds
-    assert headers.first(RETRY_AFTER_MS_HEADER) == exact
+    assert headers.first(RETRY_AFTER_MS_HEADER) == delay_ms
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -14,14 +14,23 @@
     HttpRequest,
     HttpResponse,
 )
-from features.http_rig import Notes, Play, run_clean
+from features.http_rig import Notes, Play, run_without_leftover_tasks
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
 
 class Body:
-    """Gives ``piece`` once or for ever, then does as it is told."""
+    """Streamed body of a response.
+
+    Parameters
+    ----------
+    notes
+        Notes to which events are added.
+    then
+        What the body does after its only piece: ``raises``, ``waits`` or
+        ``ends``. With ``flows`` it yields pieces without end instead.
+    """
 
     def __init__(self, notes: Notes, then: str) -> None:
         self.notes = notes
@@ -52,7 +61,7 @@
 
 
 class Handlers:
-    """What the scenarios ask of a handler; each notes what it does."""
+    """Handlers that the scenarios choose from; they note what they do."""
 
     def __init__(self) -> None:
         self.notes = Notes()
@@ -139,7 +148,7 @@
     'streams without end': Handlers.stream,
     'answers without reading': Handlers.answer,
     'returns 120 kB': Handlers.answer_long,
-    'passes on what it got': Handlers.pass_on,
+    'returns hop-by-hop fields': Handlers.pass_on,
 }
 
 
@@ -154,31 +163,31 @@
     )
 
 
-@when('HTTP callers play')
-def callers_play(context: Any) -> None:
+@when('HTTP callers run this script')
+def run_script(context: Any) -> None:
     async def work() -> None:
         async with Play(context.handler, context.handlers.notes) as play:
             context.play = play
             await play.run(context.text)
 
-    run_clean(work())
+    run_without_leftover_tasks(work())
 
 
 @then('the HTTP notes are')
 def notes_are(context: Any) -> None:
     expected = [line.strip() for line in context.text.splitlines()]
-    # What happens in the same moment may come in any order.
+    # Events of the same moment may be noted in any order.
     noted = sorted(context.handlers.notes)
     assert noted == sorted(expected), noted
 
 
-@then("the HTTP handler's stream gave less than {most:d} bytes")
-def gave_less(context: Any, most: int) -> None:
-    assert 0 < context.handlers.body.given < most
+@then("the HTTP handler's stream yielded less than {limit_bytes:d} bytes")
+def stream_is_bounded(context: Any, limit_bytes: int) -> None:
+    assert 0 < context.handlers.body.given < limit_bytes
 
 
-@then('HTTP caller a got x-public of x-public, x-private and keep-alive')
-def got_public(context: Any) -> None:
+@then('HTTP caller a got x-public, but neither x-private nor keep-alive')
+def only_public_header_passed_on(context: Any) -> None:
     headers = context.play.callers['a'].last.headers
     assert headers[b'x-public'] == b'2'
     assert not {b'x-private', b'keep-alive'} & set(headers)
