--- a/bergamotdoor/objects/__init__.py
+++ b/bergamotdoor/objects/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object store, and watchers of its kinds."""
+"""Client of the platform's object store, and watchers of object kinds."""
 
 from __future__ import annotations
 
--- a/bergamotdoor/objects/change_log.py
+++ b/bergamotdoor/objects/change_log.py
@@ -1,4 +1,4 @@
-"""What happened to a kind of objects lately, for those that follow it."""
+"""Recent changes of an object kind, kept for the processes that follow it."""
 
 from __future__ import annotations
 
@@ -10,46 +10,59 @@
 from bergamotdoor.stored import Change, Changes
 from bergamotdoor.types import Revision
 
-#: Batches that are kept. Whoever follows asks again within a second or two,
-#: in which a kind has a few.
-_MOST_BATCHES: Final = 64
+#: Number of batches that a log keeps. A follower asks again within one or
+#: two seconds, and a kind gets only a few batches in that time.
+_MAX_BATCHES: Final = 64
 
 
 class _Batch(msgspec.Struct, frozen=True):
-    """What one watch was told."""
+    """Changes that one watch returned."""
 
+    #: The revision up to which the batch is complete.
     until: Revision
     changes: tuple[Change, ...]
 
 
 class ChangeLog:
-    """Changes of a kind without a gap from one revision on.
+    """Gapless changes of a kind, from one revision on.
 
     Parameters
     ----------
     since
-        The revision from which on nothing is missing.
+        The revision after which no change is missing.
     """
 
     def __init__(self, since: Revision) -> None:
         self._since = since
         self._batches: deque[_Batch] = deque()
-        #: Up to where changes are known.
+        #: The revision up to which the changes are known.
         self.until = since
 
     def append(self, found: Changes) -> None:
-        """Take what a watch from ``until`` on was told."""
+        """Add the changes that a watch from ``until`` on returned."""
         self._batches.append(_Batch(found.revision, found.changes))
         self.until = max(self.until, found.revision)
-        if len(self._batches) > _MOST_BATCHES:
+        if len(self._batches) > _MAX_BATCHES:
             self._since = self._batches.popleft().until
 
     def behind(self, since: Revision) -> Changes | None:
-        """Return the changes behind a revision; None if some are missing.
+        """Return the changes after a revision.
 
-        Whole batches are returned, so that a change may come twice. Taken
-        in order they end where the kind was: the revision of a removal is
-        not told, and one left out by a guess would stay there for good.
+        Parameters
+        ----------
+        since
+            The revision up to which the follower knows the kind.
+
+        Returns
+        -------
+        Changes or None
+            ``None`` if the log no longer has all of these changes. Whole
+            batches are returned, so that some changes may be older than
+            `since`; applied in order, they still give the state of the kind
+            at ``until``. Single changes can't be left out by their revision:
+            the store does not report the revision of a removal, and an
+            object whose removal was left out by mistake would stay in the
+            follower's view for good.
         """
         if since < self._since:
             return None
--- a/bergamotdoor/objects/client.py
+++ b/bergamotdoor/objects/client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's object store."""
+"""Client of the platform's object store."""
 
 from __future__ import annotations
 
@@ -36,23 +36,27 @@
 
     from bergamotdoor.settings.document import Address
 
-#: The store answers in milliseconds; even one that is sixty times as slow
-#: as usual does so within a quarter of this.
+#: Timeout of a call for a single object. The store answers in milliseconds; a
+#: store that is sixty times slower than usual needs a quarter of this.
 CALL_TIMEOUT: Final = dt.timedelta(seconds=1)
-#: A page is a megabyte, which takes a quarter of a second on the smallest
-#: links of 30 Mbit/s alone, and several are loaded at once after a restart.
+#: Timeout of a page of a listing. A page has a megabyte, which takes a quarter
+#: of a second on an otherwise idle link of 30 Mbit/s, the smallest, and a
+#: process loads several pages at a time after a restart.
 _LIST_TIMEOUT_S: Final = 3
 LIST_TIMEOUT: Final = dt.timedelta(seconds=_LIST_TIMEOUT_S)
-#: An object is a megabyte at most, a page of a listing little more.
+#: Limit of a response body. An object has at most a megabyte, a page of a
+#: listing has little more.
 _MAX_BODY_BYTES: Final = 16_777_216
-_SHOWN_BYTES: Final = 80
-#: How much later than its wait a watch may be answered: twice the time of a
-#: store that is sixty times as slow as usual.
+#: Size of the start of an unreadable body that is logged.
+_LOGGED_BYTES: Final = 80
+#: Time beyond the wait of a watch until it times out: twice what a store
+#: that is sixty times slower than usual needs to answer.
 _WATCH_MARGIN_MS: Final = 500
 _WATCH_MARGIN: Final = dt.timedelta(milliseconds=_WATCH_MARGIN_MS)
-_MS: Final = dt.timedelta(milliseconds=1)
+_MILLISECOND: Final = dt.timedelta(milliseconds=1)
 Body = TypeVar('Body')
-_REFUSALS: Final = frozenset(
+#: With these statuses the store promises that it did nothing.
+_REFUSAL_STATUSES: Final = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 )
 
@@ -60,26 +64,55 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer of the store."""
+    """A complete response of the store."""
 
     status: int
     body: bytes
 
 
 class Caller(Protocol):
-    """Carries one call to the store, on whatever way."""
+    """Transport of calls to the store, direct or through other processes."""
 
     async def call(
         self, method: str, path: str, body: bytes, timeout: dt.timedelta
     ) -> Answer | Outcome:
-        """Return the answer, NOT_DONE or UNCLEAR."""
+        """Send a call; return the response, NOT_DONE or UNCLEAR.
+
+        Parameters
+        ----------
+        method
+            The HTTP method.
+        path
+            Path and query.
+        body
+            The encoded object; empty if the call has none.
+        timeout
+            The time that the store has to answer.
+        """
 
     async def watch(self, path: str, timeout: dt.timedelta) -> Answer | Outcome:
-        """Make a call that waits by its nature; its silence tells nothing."""
+        """Send a watch; a missing response is no sign of a store failure.
+
+        Parameters
+        ----------
+        path
+            Path and query.
+        timeout
+            The time that the store has to answer, the wait of the watch
+            included.
+        """
 
 
 class DirectCaller:
-    """Calls the store over HTTP from this VM."""
+    """Transport that sends calls to the store over HTTP from this VM.
+
+    Parameters
+    ----------
+    client
+        The HTTP client.
+    address
+        Address of the store.
+    """
 
     def __init__(self, client: Client, address: Address) -> None:
         self._client = client
@@ -88,7 +121,11 @@
     async def call(
         self, method: str, path: str, body: bytes, timeout: dt.timedelta
     ) -> Answer | Outcome:
-        """Send one call; say what is known if no answer comes."""
+        """Send a call; return the response, NOT_DONE or UNCLEAR.
+
+        NOT_DONE says that the call was not sent, UNCLEAR that it may have
+        been carried out.
+        """
         request = ClientRequest(
             address=self.address,
             method=method,
@@ -97,25 +134,26 @@
             body=body,
             timeout=timeout,
         )
-        # Each call is conditional, or says the same when it is repeated.
+        # Calls are safe to repeat: each is conditional or idempotent.
         response = await send(self._client, request)
         if not isinstance(response, ClientResponse):
             _log.warning('objects: %s %s: %s', method, path, response.detail)
             return Outcome.UNCLEAR if response.sent else Outcome.NOT_DONE
         try:
-            whole = await response.read_body(_MAX_BODY_BYTES)
+            body_bytes = await response.read_body(_MAX_BODY_BYTES)
         except (BodyBrokenError, BodyTooLargeError) as error:
             _log.warning('objects: %s %s: %r', method, path, error)
             return Outcome.UNCLEAR
-        return Answer(response.status, whole)
+        return Answer(response.status, body_bytes)
 
     async def watch(self, path: str, timeout: dt.timedelta) -> Answer | Outcome:
-        """Wait for news, on the one way there is.
+        """Send a watch, with one timeout for both of its attempts.
 
-        Failure: the store takes a watch and is silent from then on, also
-        after its return. Symptom: sent on a kept connection, the watch is
-        sent again once its time is up, and waits as long once more; callers
-        are answered by an old manifest meanwhile. It has its time once.
+        Failure: the store accepts a watch and never answers it, not even
+        after it is available again. Symptom: a watch on a reused connection
+        is sent once more after its timeout and waits for a second timeout;
+        callers get responses by an outdated manifest meanwhile. One timeout
+        over both attempts bounds the wait.
         """
         try:
             async with asyncio.timeout(timeout.total_seconds()):
@@ -126,35 +164,43 @@
 
 
 class ObjectClient:
-    """The store's calls as typed functions; none is repeated here."""
+    """Typed calls to the store, without retries of its own.
+
+    Parameters
+    ----------
+    caller
+        The transport of the calls.
+    """
 
     def __init__(self, caller: Caller) -> None:
         self._caller = caller
-        #: Of all calls, each counted once on however many ways it went.
+        #: Number of calls by type and kind. A call counts once, even if the
+        #: transport sends it on several paths.
         self.counts = CallCounts()
 
     async def get(self, kind: str, name: str) -> StoredObject | Outcome:
-        """Return an object, ABSENT, or why it is not known."""
+        """Return an object, ABSENT, or why the object is unknown."""
         self.counts.add(CallType.READ, kind)
         path = store_paths.object_path(kind, name)
-        answer = await self._call('GET', path)
-        if isinstance(answer, Outcome):
-            return answer
-        return _read(store_wire.parse_object, answer, Outcome.NOT_DONE)
+        response = await self._request('GET', path)
+        if isinstance(response, Outcome):
+            return response
+        return _parse_body(store_wire.parse_object, response, Outcome.NOT_DONE)
 
     async def listing(
         self, kind: str, after: str = '', stale: bool = False
     ) -> Listing | Outcome:
-        """Return all objects of a kind, page after page.
+        """Return all objects of a kind, loaded page by page.
 
         Parameters
         ----------
         kind
-            What to list.
+            The kind to list.
         after
-            The name to begin behind.
+            The name after which the listing begins; empty for all names.
         stale
-            Whether a view that is seconds old will do; it costs a tenth.
+            Whether the store may return a state that is some seconds old.
+            Such a listing costs a tenth of a current one.
         """
         objects: list[StoredObject] = []
         revision = Revision(0)
@@ -162,12 +208,14 @@
         while more:
             self.counts.add(_listing_type(stale), kind)
             path = store_paths.list_path(kind, after, stale)
-            answer = await self._call('GET', path, LIST_TIMEOUT)
-            if answer is Outcome.ABSENT:
+            response = await self._request('GET', path, LIST_TIMEOUT)
+            if response is Outcome.ABSENT:
                 return Outcome.NOT_DONE
-            if isinstance(answer, Outcome):
-                return answer
-            page = _read(store_wire.parse_page, answer, Outcome.NOT_DONE)
+            if isinstance(response, Outcome):
+                return response
+            page = _parse_body(
+                store_wire.parse_page, response, Outcome.NOT_DONE
+            )
             if isinstance(page, Outcome):
                 return page
             objects.extend(page.listing.objects)
@@ -179,7 +227,7 @@
     async def create(
         self, kind: str, name: str, spec: bytes
     ) -> StoredObject | Conflict | Outcome:
-        """Create an object unless one of the name exists."""
+        """Create an object unless one with the same name exists."""
         self.counts.add(CallType.WRITE, kind)
         body = store_wire.object_body(name, spec, None)
         return await self._write('POST', store_paths.kind_path(kind), body)
@@ -187,7 +235,7 @@
     async def replace(
         self, kind: str, name: str, spec: bytes, revision: Revision
     ) -> StoredObject | Conflict | Outcome:
-        """Replace an object's spec if it is still at `revision`."""
+        """Replace an object's spec if the object is still at `revision`."""
         self.counts.add(CallType.WRITE, kind)
         body = store_wire.object_body(name, spec, revision)
         return await self._write(
@@ -197,7 +245,7 @@
     async def put_status(
         self, kind: str, name: str, status: bytes
     ) -> StoredObject | Conflict | Outcome:
-        """Replace an object's status, whatever its revision."""
+        """Replace an object's status at any revision."""
         self.counts.add(CallType.WRITE, kind)
         body = store_wire.status_body(name, status)
         return await self._write(
@@ -205,85 +253,102 @@
         )
 
     async def delete(self, kind: str, name: str) -> Outcome:
-        """Remove an object; ABSENT once it is gone."""
+        """Remove an object; return ABSENT if it no longer exists."""
         self.counts.add(CallType.WRITE, kind)
-        answer = await self._call('DELETE', store_paths.object_path(kind, name))
-        return answer if isinstance(answer, Outcome) else Outcome.ABSENT
+        response = await self._request(
+            'DELETE', store_paths.object_path(kind, name)
+        )
+        return response if isinstance(response, Outcome) else Outcome.ABSENT
 
     async def changes(
         self, kind: str, since: Revision, wait: dt.timedelta
     ) -> Changes | Outcome:
-        """Wait for changes since a revision; none came if it is empty."""
+        """Return the changes of a kind after a revision.
+
+        Parameters
+        ----------
+        kind
+            The kind to watch.
+        since
+            The revision after which changes are returned.
+        wait
+            The time that the store waits for a change. If there is none in
+            this time, the result is empty.
+        """
         self.counts.add(CallType.WATCH, kind)
-        path = store_paths.watch_path(kind, since, wait // _MS)
-        answer = await self._caller.watch(path, wait + _WATCH_MARGIN)
-        if isinstance(answer, Outcome):
-            return answer
-        if answer.status >= HTTPStatus.MULTIPLE_CHOICES:
-            return _outcome('GET', path, answer)
-        return _read(store_wire.parse_changes, answer, Outcome.UNCLEAR)
+        path = store_paths.watch_path(kind, since, wait // _MILLISECOND)
+        response = await self._caller.watch(path, wait + _WATCH_MARGIN)
+        if isinstance(response, Outcome):
+            return response
+        if response.status >= HTTPStatus.MULTIPLE_CHOICES:
+            return _outcome_of_status('GET', path, response)
+        return _parse_body(store_wire.parse_changes, response, Outcome.UNCLEAR)
 
     async def _write(
         self, method: str, path: str, body: bytes
     ) -> StoredObject | Conflict | Outcome:
-        answer = await self._caller.call(method, path, body, CALL_TIMEOUT)
-        if isinstance(answer, Outcome):
-            return answer
-        if answer.status == HTTPStatus.CONFLICT:
-            return Conflict(_conflicting(answer.body))
-        if answer.status >= HTTPStatus.MULTIPLE_CHOICES:
-            return _outcome(method, path, answer)
-        return _read(store_wire.parse_object, answer, Outcome.UNCLEAR)
-
-    async def _call(
+        response = await self._caller.call(method, path, body, CALL_TIMEOUT)
+        if isinstance(response, Outcome):
+            return response
+        if response.status == HTTPStatus.CONFLICT:
+            return Conflict(_parse_current(response.body))
+        if response.status >= HTTPStatus.MULTIPLE_CHOICES:
+            return _outcome_of_status(method, path, response)
+        return _parse_body(store_wire.parse_object, response, Outcome.UNCLEAR)
+
+    async def _request(
         self, method: str, path: str, timeout: dt.timedelta = CALL_TIMEOUT
     ) -> Answer | Outcome:
-        answer = await self._caller.call(method, path, b'', timeout)
-        if isinstance(answer, Outcome):
-            return answer
-        if answer.status >= HTTPStatus.MULTIPLE_CHOICES:
-            return _outcome(method, path, answer)
-        return answer
+        response = await self._caller.call(method, path, b'', timeout)
+        if isinstance(response, Outcome):
+            return response
+        if response.status >= HTTPStatus.MULTIPLE_CHOICES:
+            return _outcome_of_status(method, path, response)
+        return response
 
 
 def _listing_type(stale: bool) -> CallType:
     return CallType.STALE_LIST if stale else CallType.LIST
 
 
-def _read(
-    parse: Callable[[bytes], Body], answer: Answer, otherwise: Outcome
+def _parse_body(
+    parse: Callable[[bytes], Body], response: Answer, failure: Outcome
 ) -> Body | Outcome:
+    """Return the parsed body, or `failure` if the body is unreadable."""
     try:
-        return parse(answer.body)
+        return parse(response.body)
     except UnreadableError as error:
         _log.warning(
-            'objects: an answer is unreadable: %s: %r',
+            'objects: the body of a response is unreadable: %s: %r',
             error,
-            answer.body[:_SHOWN_BYTES],
+            response.body[:_LOGGED_BYTES],
         )
-        return otherwise
+        return failure
 
 
-def _conflicting(body: bytes) -> StoredObject | None:
+def _parse_current(body: bytes) -> StoredObject | None:
+    """Return the stored object in the body of a conflict response."""
     try:
         return store_wire.parse_object(body)
     except UnreadableError:
         _log.warning(
-            'objects: a conflict without the object: %r', body[:_SHOWN_BYTES]
+            'objects: a conflict response has no readable object: %r',
+            body[:_LOGGED_BYTES],
         )
         return None
 
 
-def _outcome(method: str, path: str, answer: Answer) -> Outcome:
-    if answer.status == HTTPStatus.NOT_FOUND:
+def _outcome_of_status(method: str, path: str, response: Answer) -> Outcome:
+    if response.status == HTTPStatus.NOT_FOUND:
         return Outcome.ABSENT
-    if answer.status == HTTPStatus.GONE:
+    if response.status == HTTPStatus.GONE:
         return Outcome.HISTORY_GONE
-    _log.warning('objects: %s %s: status %d', method, path, answer.status)
-    # A refusal, by rate or by an outage, promises that nothing was done;
-    # any other failure of the store leaves that open.
-    if answer.status in _REFUSALS:
+    _log.warning('objects: %s %s: status %d', method, path, response.status)
+    # With a refusal, because of the rate limit or an outage, the store
+    # promises that it did nothing. After any other server error the call may
+    # have been carried out.
+    if response.status in _REFUSAL_STATUSES:
         return Outcome.NOT_DONE
-    if answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+    if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return Outcome.NOT_DONE
     return Outcome.UNCLEAR
--- a/bergamotdoor/objects/job_codec.py
+++ b/bergamotdoor/objects/job_codec.py
@@ -1,14 +1,15 @@
-"""How batch jobs are written as objects of the platform's store.
-
-======================  ==============  ================================
-kind                    name            spec
-======================  ==============  ================================
-``jobs``                job             who runs it (``JobRecord``);
-                                        status: whether it is ended
-``job-ID``              ``part-000000`` pieces of its body; the status of the
-                                        first: what long items have so far
-``job-ID``              ``result-000000`` results, one record a number
-======================  ==============  ================================
+"""Encoding of batch jobs as objects of the platform's store.
+
+==========  =================  ===========================================
+kind        name               content
+==========  =================  ===========================================
+``jobs``    job id             spec: the owner (``JobRecord``);
+                               status: whether the job has ended
+``job-ID``  ``part-000000``    spec: one part of the job's body;
+                               status of the first part: saved transcripts
+                               of long items that have not finished
+``job-ID``  ``result-000000``  spec: one numbered record of results
+==========  =================  ===========================================
 """
 
 from __future__ import annotations
@@ -41,14 +42,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-#: An object may take a megabyte; JSON writes bodies in base64.
+#: Limit of the encoded items in one part. An object may have a megabyte, and
+#: JSON encodes bodies in base64.
 PART_BYTES: Final = 600_000
 
 _log = logging.getLogger('bergamotdoor.objects')
 
 
 class FoundJob(msgspec.Struct, frozen=True):
-    """A job's record as stored."""
+    """The stored record of a job."""
 
     job: JobId
     record: JobRecord
@@ -57,67 +59,71 @@
 
 
 class LoadedJob(msgspec.Struct, frozen=True):
-    """A job's body and results as stored."""
+    """The stored body and results of a job."""
 
     spec: JobSpec
     ledger: Ledger
-    #: What items that are not listed had when it was last kept.
+    #: Transcripts that were last saved for items without a listed result.
     partial: dict[ItemId, SavedTranscript] = {}
-    #: The monotonic time at which the store was asked; None if it was not.
+    #: Monotonic time at which the request was sent to the store; ``None`` if
+    #: the job was not read from the store.
     read_at: dt.timedelta | None = None
 
 
 class _Partial(msgspec.Struct):
-    """What running items have so far."""
+    """Saved transcripts of items that have not finished."""
 
     items: dict[ItemId, SavedTranscript]
 
 
 class _Part(msgspec.Struct):
-    """A piece of a job; every piece repeats its head."""
+    """One part of a job's body.
+
+    ``head`` is the job without its items; every part repeats it.
+    """
 
     head: JobSpec
     items: tuple[ItemSpec, ...]
 
 
-def _that_fit(
+def _select_fitting(
     partial: dict[ItemId, SavedTranscript],
 ) -> Iterator[tuple[ItemId, SavedTranscript]]:
-    """Return the longest transcripts that fit into one object."""
-    room = PART_BYTES
-    for item, saved in sorted(partial.items(), key=_length, reverse=True):
-        room -= len(msgspec.json.encode(saved))
-        if room < 0:
+    """Yield the longest transcripts that fit into one object together."""
+    free_bytes = PART_BYTES
+    for item, saved in sorted(partial.items(), key=_count_texts, reverse=True):
+        free_bytes -= len(msgspec.json.encode(saved))
+        if free_bytes < 0:
             return
         yield item, saved
 
 
-def _length(entry: tuple[ItemId, SavedTranscript]) -> int:
+def _count_texts(entry: tuple[ItemId, SavedTranscript]) -> int:
     return len(entry[1].texts)
 
 
 def split(spec: JobSpec) -> list[bytes]:
-    """Cut a job into pieces that fit into an object each."""
+    """Return the encoded parts of a job, each small enough for an object."""
     head = msgspec.structs.replace(spec, items=())
-    pieces: list[list[ItemSpec]] = [[]]
+    parts: list[list[ItemSpec]] = [[]]
     size_bytes = 0
     for item in spec.items:
         item_bytes = len(msgspec.json.encode(item))
-        if pieces[-1] and size_bytes + item_bytes > PART_BYTES:
-            pieces.append([])
+        if parts[-1] and size_bytes + item_bytes > PART_BYTES:
+            parts.append([])
             size_bytes = 0
-        pieces[-1].append(item)
+        parts[-1].append(item)
         size_bytes += item_bytes
-    return [msgspec.json.encode(_Part(head, tuple(piece))) for piece in pieces]
+    return [msgspec.json.encode(_Part(head, tuple(part))) for part in parts]
 
 
 def found_job(stored: StoredObject) -> FoundJob:
-    """Read a job's record.
+    """Return the record of a job, decoded from its object.
 
     Raises
     ------
     UnreadableError
-        If it is none.
+        If the object is not a job's record.
     """
     with reading(f'job {stored.name}'):
         status = msgspec.json.decode(
@@ -130,57 +136,73 @@
 
 
 def loaded_job(listing: Listing) -> LoadedJob | Outcome:
-    """Read a job's body and results; ABSENT if there is no body.
+    """Return a job's body and results, decoded from a listing.
+
+    Returns
+    -------
+    LoadedJob or Outcome
+        ABSENT if the listing has no part of the body.
 
     Raises
     ------
     UnreadableError
-        If a piece of it is none: nobody can say what the job holds then.
+        If a part or a record of results can't be decoded: the content of the
+        job is unknown then.
     """
-    parts = tuple(_parts(listing))
+    parts = tuple(_decode_parts(listing))
     if not parts:
         return Outcome.ABSENT
     items = tuple(item for part in parts for item in part.items)
     spec = msgspec.structs.replace(parts[0].head, items=items)
-    return LoadedJob(spec, Ledger(_records(listing)), _partial(listing))
+    return LoadedJob(
+        spec, Ledger(_decode_records(listing)), _decode_partial(listing)
+    )
 
 
-def _parts(listing: Listing) -> Iterator[_Part]:
+def _decode_parts(listing: Listing) -> Iterator[_Part]:
     for stored in numbered(listing, part_name):
         with reading(f'part {stored.name}'):
             yield msgspec.json.decode(stored.spec, type=_Part)
 
 
-def _records(listing: Listing) -> Iterator[ResultRecord]:
+def _decode_records(listing: Listing) -> Iterator[ResultRecord]:
     return map(record_of, numbered(listing, record_name))
 
 
-def _partial(listing: Listing) -> dict[ItemId, SavedTranscript]:
-    """Return what running items had; without it they begin anew."""
-    first = next(numbered(listing, part_name))
+def _decode_partial(listing: Listing) -> dict[ItemId, SavedTranscript]:
+    """Return the saved transcripts of unfinished items.
+
+    The result is empty if they can't be decoded: items without a saved
+    transcript start from the beginning.
+    """
+    first_part = next(numbered(listing, part_name))
     try:
-        with reading(f'status of {first.name}'):
+        with reading(f'status of {first_part.name}'):
             partial = msgspec.json.decode(
-                first.status or b'null', type=_Partial | None
+                first_part.status or b'null', type=_Partial | None
             )
     except UnreadableError as error:
-        _log.warning('objects: running items begin anew: %s', error)
+        _log.warning(
+            'objects: saved transcripts are unreadable, their items start '
+            'from the beginning: %s',
+            error,
+        )
         return {}
     return {} if partial is None else partial.items
 
 
 def record_of(stored: StoredObject) -> ResultRecord:
-    """Read a record of results.
+    """Return a record of results, decoded from its object.
 
     Raises
     ------
     UnreadableError
-        If it is none.
+        If the object is not a record of results.
     """
     with reading(f'record {stored.name}'):
         return msgspec.json.decode(stored.spec, type=ResultRecord)
 
 
 def partial_body(partial: dict[ItemId, SavedTranscript]) -> bytes:
-    """Write what running items have, as much as fits into one object."""
-    return msgspec.json.encode(_Partial(dict(_that_fit(partial))))
+    """Encode saved transcripts, the longest that fit into one object."""
+    return msgspec.json.encode(_Partial(dict(_select_fitting(partial))))
--- a/bergamotdoor/objects/job_store.py
+++ b/bergamotdoor/objects/job_store.py
@@ -1,4 +1,4 @@
-"""Reads and writes batch jobs in the platform's store."""
+"""Storage of batch jobs in the platform's object store."""
 
 from __future__ import annotations
 
@@ -42,28 +42,35 @@
     from bergamotdoor.objects.client import ObjectClient
     from bergamotdoor.types import ItemId, JobId
 
-#: How often a call whose outcome is unclear is repeated before its caller
-#: is told so, and the pause between.
-_ATTEMPTS: Final = 3
-_PAUSE_S: Final = 0.05
-#: How long each part of a new job may take: a store that is sixty times as
-#: slow as usual needs a quarter of it, the slowest link another quarter.
-_PART_TIME_S: Final = 0.9
+#: Attempts of a call with an unclear outcome before UNCLEAR is returned, and
+#: the pause after each.
+_MAX_ATTEMPTS: Final = 3
+_RETRY_PAUSE_S: Final = 0.05
+#: Timeout for each part of a new job. A store that is sixty times slower than
+#: usual needs a quarter of it, the slowest link another quarter.
+_PART_TIMEOUT_S: Final = 0.9
 
 _log = logging.getLogger('bergamotdoor.objects')
 _reader: Final = ObjectReader(_log, 'objects')
 
 
 class Submitted(msgspec.Struct, frozen=True):
-    """A job that is in the store after it was handed in."""
+    """A submitted job that is in the store."""
 
     found: FoundJob
-    #: Whether this call surely created it, so that nothing has run yet.
+    #: Whether this call certainly created the job, so that no item has run
+    #: yet.
     created: bool
 
 
 class JobStore:
-    """Reads and writes batch jobs."""
+    """Reads and writes batch jobs.
+
+    Parameters
+    ----------
+    store
+        Client of the object store.
+    """
 
     def __init__(self, store: ObjectClient) -> None:
         self._store = store
@@ -71,18 +78,30 @@
     async def submit(
         self, spec: JobSpec, record: JobRecord
     ) -> Submitted | Outcome:
-        """Store a whole job; return it, or the one stored before.
+        """Store a complete job.
+
+        Parameters
+        ----------
+        spec
+            The job, with all items.
+        record
+            The record with the job's first owner.
 
-        NOT_DONE promises that the job does not exist and will not.
+        Returns
+        -------
+        Submitted or Outcome
+            The job, or the job that was stored before under the same id.
+            NOT_DONE says that the job does not exist and will not be created
+            by this call.
         """
         parts = list(split(spec))
         for number, part in enumerate(parts):
-            outcome = await self._create_soon(
+            outcome = await self._create_part(
                 parts_kind(spec.job), part_name(number), part
             )
             if outcome is Outcome.NOT_DONE or outcome is Outcome.UNCLEAR:
-                # Without its record the job does not exist: parts alone
-                # are never run.
+                # The job exists only once its record is stored: parts
+                # without a record are never run.
                 return Outcome.NOT_DONE
         record = msgspec.structs.replace(record, parts=len(parts))
         body = msgspec.json.encode(record)
@@ -90,18 +109,24 @@
         if isinstance(stored, Outcome):
             return stored
         if isinstance(stored, StoredObject):
-            return _submitted(_job(stored), created=True)
+            return _submitted_job(_decode_job(stored), created=True)
         if stored.current is None:
-            return _submitted(await self.find(spec.job), created=False)
-        return _submitted(_job(stored.current), created=False)
+            return _submitted_job(await self.find(spec.job), created=False)
+        return _submitted_job(_decode_job(stored.current), created=False)
 
     async def find(self, job: JobId) -> FoundJob | Outcome:
-        """Return who runs a job; ABSENT if there is no such job."""
+        """Return a job's record; ABSENT if there is no such job."""
         found = await self._store.get(JOB_KIND, job)
-        return found if isinstance(found, Outcome) else _job(found)
+        return found if isinstance(found, Outcome) else _decode_job(found)
 
     async def all_jobs(self, stale: bool) -> tuple[FoundJob, ...] | Outcome:
-        """Return all jobs."""
+        """Return the records of all jobs, without unreadable ones.
+
+        Parameters
+        ----------
+        stale
+            Whether a state that is some seconds old is sufficient.
+        """
         listing = await self._store.listing(JOB_KIND, stale=stale)
         if isinstance(listing, Outcome):
             return listing
@@ -111,7 +136,21 @@
     async def claim(
         self, found: FoundJob, record: JobRecord
     ) -> FoundJob | Outcome:
-        """Take a job over; return it as it is then, whoever has it."""
+        """Claim a job for a new owner.
+
+        Parameters
+        ----------
+        found
+            The job as last read; the claim fails if it has changed since.
+        record
+            The record with the new owner.
+
+        Returns
+        -------
+        FoundJob or Outcome
+            The job as stored afterwards. Another process may own it if the
+            claim failed.
+        """
         body = msgspec.json.encode(record)
         outcome = await self._store.replace(
             JOB_KIND, found.job, body, found.revision
@@ -119,30 +158,33 @@
         if isinstance(outcome, Conflict):
             if outcome.current is None:
                 return await self.find(found.job)
-            return _job(outcome.current)
-        return outcome if isinstance(outcome, Outcome) else _job(outcome)
+            return _decode_job(outcome.current)
+        return outcome if isinstance(outcome, Outcome) else _decode_job(outcome)
 
     async def end(self, job: JobId) -> FoundJob | Outcome | None:
-        """Note that a job is ended; return it once it is.
+        """Record in the store that a job has ended.
 
         Returns
         -------
         FoundJob or Outcome or None
-            The job, which tells its owner; None if it is ended and nobody
-            can say whose it is.
+            The ended job with its owner; ``None`` if the end is recorded, but
+            the job's record is unreadable and its owner unknown.
         """
         status = msgspec.json.encode(JobStatus(ended=True))
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             outcome = await self._store.put_status(JOB_KIND, job, status)
             if isinstance(outcome, StoredObject):
                 return _reader.read(outcome, found_job)
             if outcome is Outcome.ABSENT or outcome is Outcome.NOT_DONE:
                 return outcome
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_PAUSE_S)
         return Outcome.UNCLEAR
 
     async def load(self, job: JobId) -> LoadedJob | Outcome:
-        """Return a job's body and all its results."""
+        """Return a job's body and all its results.
+
+        NOT_DONE is also returned if one of the job's objects is unreadable.
+        """
         listing = await self._store.listing(parts_kind(job))
         if isinstance(listing, Outcome):
             return listing
@@ -153,10 +195,10 @@
             return Outcome.NOT_DONE
 
     async def remove(self, job: JobId) -> bool:
-        """Remove a job; return whether all of it is gone.
+        """Remove a job; return whether all its objects are removed.
 
-        Its record goes last, so that a removal that breaks off is seen and
-        done again.
+        The record is removed last, so that an incomplete removal is noticed
+        and repeated.
         """
         listing = await self._store.listing(parts_kind(job), stale=True)
         if isinstance(listing, Outcome):
@@ -170,14 +212,24 @@
     async def append(
         self, job: JobId, number: int, record: ResultRecord
     ) -> ResultRecord | Outcome:
-        """Store results under a number.
+        """Store a record of results under a number.
+
+        Parameters
+        ----------
+        job
+            The job of the results.
+        number
+            The number of the record.
+        record
+            The record to store.
 
         Returns
         -------
         ResultRecord or Outcome
-            The record that has the number: this one, or another process's.
-            While the outcome is unclear, the same record has to be tried
-            again under the same number: the first call may still be done.
+            The record that is stored under the number: `record`, or the one
+            that another process stored first. After UNCLEAR, the caller has
+            to retry with the same record and number, since the store may
+            still carry out the first call.
         """
         kind = parts_kind(job)
         name = record_name(number)
@@ -189,38 +241,47 @@
         if isinstance(outcome, Outcome):
             return outcome
         if outcome.current is not None:
-            return _record(outcome.current)
+            return _decode_record(outcome.current)
         found = await self._store.get(kind, name)
-        return found if isinstance(found, Outcome) else _record(found)
+        return found if isinstance(found, Outcome) else _decode_record(found)
 
     async def record_at(
         self, job: JobId, number: int
     ) -> ResultRecord | Outcome:
-        """Return the record that has a number; ABSENT if none has."""
+        """Return the record stored under a number; ABSENT if there is none."""
         found = await self._store.get(parts_kind(job), record_name(number))
-        return found if isinstance(found, Outcome) else _record(found)
+        return found if isinstance(found, Outcome) else _decode_record(found)
 
     async def keep_partial(
         self, job: JobId, partial: dict[ItemId, SavedTranscript]
     ) -> None:
-        """Keep what running items have; a failure costs only time."""
+        """Save the transcripts of unfinished items.
+
+        A failure is only logged: items without a saved transcript start from
+        the beginning after a takeover, which costs time but no results.
+        """
         outcome = await self._store.put_status(
             parts_kind(job), part_name(0), partial_body(partial)
         )
         if not isinstance(outcome, StoredObject):
-            _log.info('objects: job %s: running items not kept', job)
+            _log.info(
+                'objects: job %s: transcripts of unfinished items not saved',
+                job,
+            )
 
-    async def _create_soon(
+    async def _create_part(
         self, kind: str, name: str, body: bytes
     ) -> StoredObject | Conflict | Outcome:
-        """Create an object, or give up before its client does.
+        """Create a part of a job, with a timeout shorter than the trainer's.
 
-        Failure: the store is silent, and a trainer waits for seconds whether
-        its job is taken. Symptom: it gives up, comes again at once, and finds
-        the store silent still; told in time, it comes again when it helps.
+        Failure: the store does not answer, and a trainer waits for seconds
+        for the response to its submission. Symptom: the trainer times out and
+        retries at once, while the store still does not answer. With the
+        shorter timeout, the trainer is refused in time and retries later,
+        when a retry can succeed.
         """
         try:
-            async with asyncio.timeout(_PART_TIME_S):
+            async with asyncio.timeout(_PART_TIMEOUT_S):
                 return await self._create(kind, name, body)
         except TimeoutError:
             return Outcome.UNCLEAR
@@ -228,38 +289,41 @@
     async def _create(
         self, kind: str, name: str, body: bytes
     ) -> StoredObject | Conflict | Outcome:
+        """Create an object; retry while the outcome is unclear."""
         outcome: StoredObject | Conflict | Outcome = Outcome.NOT_DONE
         unclear = False
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             outcome = await self._store.create(kind, name, body)
             if not isinstance(outcome, Outcome):
                 return outcome
             unclear = unclear or outcome is Outcome.UNCLEAR
             if not unclear:
-                # Refused before: nothing was done, and the caller can come
-                # back when it suits.
+                # The store did nothing in any attempt, so the caller can
+                # retry at a time of its choice.
                 return outcome
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_PAUSE_S)
         return Outcome.UNCLEAR
 
 
-def _submitted(found: FoundJob | Outcome, created: bool) -> Submitted | Outcome:
-    """Return a job that is there; one that can't be read is not refused.
+def _submitted_job(
+    found: FoundJob | Outcome, created: bool
+) -> Submitted | Outcome:
+    """Return a job that is stored; UNCLEAR, not NOT_DONE, if it is unreadable.
 
-    Failure: a creation's answer is lost, the next try finds the job, and
-    the store refuses to read it. Symptom: its trainer is told that nothing
-    of it runs, and it does.
+    Failure: the response to a creation is lost, the retry finds that the job
+    exists, and the store refuses to return it. Symptom: the trainer is told
+    that nothing of the job runs, although it does run.
     """
     if isinstance(found, Outcome):
         return Outcome.UNCLEAR
     return Submitted(found, created)
 
 
-def _job(stored: StoredObject) -> FoundJob | Outcome:
-    """Read a job's record; NOT_DONE if nobody can say what it is."""
+def _decode_job(stored: StoredObject) -> FoundJob | Outcome:
+    """Return a job's record; NOT_DONE if it is unreadable."""
     return _reader.read(stored, found_job) or Outcome.NOT_DONE
 
 
-def _record(stored: StoredObject) -> ResultRecord | Outcome:
-    """Read a record of results; NOT_DONE if nobody can say what it is."""
+def _decode_record(stored: StoredObject) -> ResultRecord | Outcome:
+    """Return a record of results; NOT_DONE if it is unreadable."""
     return _reader.read(stored, record_of) or Outcome.NOT_DONE
--- a/bergamotdoor/objects/news.py
+++ b/bergamotdoor/objects/news.py
@@ -1,4 +1,4 @@
-"""Where a process hears of changes of a kind of objects."""
+"""Sources of the changes of an object kind."""
 
 from __future__ import annotations
 
@@ -14,71 +14,94 @@
     from bergamotdoor.objects.client import ObjectClient
     from bergamotdoor.types import Revision
 
-#: For views whose age no rule bounds. A waiting watch counts as one call,
-#: so a long wait is cheap; the store takes at most 30 s.
+#: Wait of a watch for a view whose age no rule bounds. A watch counts as one
+#: call however long it waits; the store accepts waits of up to 30 s.
 _LONG_WAIT_S: Final = 10
 LONG_WAIT: Final = dt.timedelta(seconds=_LONG_WAIT_S)
-#: A watch that lasted for this share of its time has ended in order.
-_WHOLE: Final = 0.9
+#: Share of its wait after which a watch without a change has ended in order. A
+#: shorter one was cut off.
+_COMPLETE_WAIT_SHARE: Final = 0.9
 
 
 class Watch(msgspec.Struct, frozen=True):
-    """Which kind of objects is followed, and how closely."""
+    """The kind of objects that is watched, and the timing of the watches."""
 
     kind: str
-    #: How long to wait before the store is watched again. Each change ends
-    #: a watch and each watch costs a call, so changes that come close
-    #: together are gathered into one call.
+    #: Delay before each watch of the store. Each change ends a watch and each
+    #: watch costs a call, so this delay batches changes that are close
+    #: together into one call.
     gather: dt.timedelta
-    #: How long a watch of the store is trusted. One whose history was
-    #: dropped stays open and silent; the next one is told that it has to
-    #: list.
+    #: Longest time that a single watch of the store waits. A watch whose
+    #: history the store has dropped stays open without a response; the next
+    #: watch gets HISTORY_GONE, so that the kind is listed again.
     wait: dt.timedelta = LONG_WAIT
-    #: How often whoever follows is told that nothing has changed; None is
-    #: never.
+    #: Interval after which the follower gets a result even without changes, as
+    #: a proof that its view is current. ``None`` if it needs no proof.
     proof: dt.timedelta | None = None
 
     @property
     def patience(self) -> dt.timedelta:
-        """How long one watch of the store lasts."""
+        """Time that a single watch of the store waits for a change."""
         return self.wait if self.proof is None else min(self.wait, self.proof)
 
 
 class News(Protocol):
-    """Tells of changes."""
+    """Source of the changes of object kinds."""
 
     async def changes(self, watch: Watch, since: Revision) -> Changes | Outcome:
-        """Wait for changes since a revision; none came if it is empty.
+        """Wait for changes of a kind after a revision.
+
+        Parameters
+        ----------
+        watch
+            The kind, and the timing of the watches.
+        since
+            The revision after which changes are returned.
 
         Returns
         -------
         Changes or Outcome
-            HISTORY_GONE is that the kind has to be listed. Any other
-            outcome is that the store can't be reached or believed now.
+            The changes, empty if there were none during the wait. With
+            HISTORY_GONE the kind has to be listed. With any other outcome the
+            store can't be reached, or its response can't be trusted.
         """
 
 
 class StoreNews:
-    """Hears of changes from the store itself."""
+    """Source of changes that watches the store itself.
+
+    Parameters
+    ----------
+    store
+        Client of the object store.
+    clock
+        The clock for delays and for the time of proofs.
+    """
 
     def __init__(self, store: ObjectClient, clock: Clock) -> None:
         self._store = store
         self._clock = clock
 
     async def changes(self, watch: Watch, since: Revision) -> Changes | Outcome:
-        """Watch the store once."""
+        """Watch the store once, after the delay for batching."""
         await self._clock.sleep(watch.gather)
-        began = self._clock.elapsed()
+        began_at = self._clock.elapsed()
         proven_at = self._clock.uptime()
         found = await self._store.changes(watch.kind, since, watch.patience)
         if isinstance(found, Outcome):
             return found
-        # The store answers at once if something had changed before.
+        # The store answers at once if the kind had changed before the watch,
+        # so the result proves the state at the beginning of the watch.
         found = msgspec.structs.replace(found, proven_at=proven_at)
         if found.changes:
             return found
-        # Without an event it may have ended while it was told of none: the
-        # next one begins where this one did, and is told, or has to list.
-        # One that ended before its time was cut off.
-        took = self._clock.elapsed() - began
-        return found if took > watch.patience * _WHOLE else Outcome.UNCLEAR
+        # A watch may also end without an event because the store did not
+        # report a change. The next watch begins at the same revision, and
+        # returns the change or HISTORY_GONE. A watch that ended before its
+        # time was cut off.
+        waited = self._clock.elapsed() - began_at
+        return (
+            found
+            if waited > watch.patience * _COMPLETE_WAIT_SHARE
+            else Outcome.UNCLEAR
+        )
--- a/bergamotdoor/objects/patient_listing.py
+++ b/bergamotdoor/objects/patient_listing.py
@@ -1,4 +1,4 @@
-"""Lists a kind although the store may have swallowed a listing."""
+"""Listing of a kind by hedged requests, since the store may lose a request."""
 
 from __future__ import annotations
 
@@ -10,35 +10,43 @@
 if TYPE_CHECKING:
     from bergamotdoor.objects.client import ObjectClient
 
-#: How long a listing is waited for before another one is begun beside it.
-#: Six times what a store takes that is sixty times as slow as usual, and half
-#: of the shortest time in which a view must be true after its return.
-_PATIENCE_S: Final = 1.5
-#: How many are under way at a time. One runs out of time after three
-#: seconds, or somewhat later through another entry.
-_MOST: Final = 3
+#: Time without a response after which one more listing is started. It is six
+#: times what a store needs that is sixty times slower than usual, and half of
+#: the shortest time in which a view must be current after the store's return.
+_HEDGE_DELAY_S: Final = 1.5
+#: Number of listings in flight. Each times out after three seconds, or a
+#: little later if it is sent through another entry.
+_MAX_IN_FLIGHT: Final = 3
 
 
 async def list_patiently(store: ObjectClient, kind: str) -> Listing | Outcome:
-    """Return the first listing that succeeds, or how the last one failed.
+    """Return the first successful listing, or the outcome of the last one.
 
-    Failure: the store is silent for a while and answers no call that it has
-    taken meanwhile, also after its return. Symptom: the listing, and those
-    through other entries, wait for three seconds and more, and an old manifest
-    stays in force. A shorter time for each would keep a process behind a slow
-    link from ever having a whole listing, so the first ones go on.
+    Failure: the store does not answer for a while, and never answers the
+    calls that it received in this time, not even after its return. Symptom:
+    the listing waits for three seconds and longer, sent directly or through
+    other entries, and an outdated manifest stays in force. With a shorter
+    timeout, a process behind a slow link could never load a complete listing;
+    so the earlier listings stay in flight beside the later ones.
+
+    Parameters
+    ----------
+    store
+        Client of the object store.
+    kind
+        The kind to list.
     """
     pending: set[asyncio.Task[Listing | Outcome]] = set()
     try:
         while True:
-            if len(pending) < _MOST:
+            if len(pending) < _MAX_IN_FLIGHT:
                 pending.add(asyncio.create_task(store.listing(kind)))
             done, pending = await asyncio.wait(
                 pending,
-                timeout=_PATIENCE_S,
+                timeout=_HEDGE_DELAY_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            found = _best(done)
+            found = _select_result(done)
             if isinstance(found, Listing) or (found and not pending):
                 return found
     finally:
@@ -46,12 +54,15 @@
             task.cancel()
 
 
-def _best(
+def _select_result(
     done: set[asyncio.Task[Listing | Outcome]],
 ) -> Listing | Outcome | None:
-    """Return a listing if there is one, or else how one failed, if any."""
-    found = [task.result() for task in done]
+    """Return a listing if any task has one, else an outcome.
+
+    ``None`` if no task is done.
+    """
+    results = [task.result() for task in done]
     return next(
-        (one for one in found if isinstance(one, Listing)),
-        next(iter(found), None),
+        (found for found in results if isinstance(found, Listing)),
+        next(iter(results), None),
     )
--- a/bergamotdoor/objects/reader.py
+++ b/bergamotdoor/objects/reader.py
@@ -1,4 +1,4 @@
-"""Reads objects of the store one by one, whoever wrote them."""
+"""Decoding of single objects, some of which other writers may have written."""
 
 from __future__ import annotations
 
@@ -17,34 +17,46 @@
 
 
 class ObjectReader:
-    """Leaves out what cannot be read, and tells once of each revision.
+    """Decoder that skips unreadable objects and logs each revision once.
 
-    Failure: another writer puts an object under a kind that is followed.
-    Symptom: one that cannot be read hides all others, or fills the log each
-    time it is listed.
+    Failure: another writer puts an object under a kind that this process
+    follows. Symptom: the unreadable object hides all others, or fills the log
+    since it is listed again and again. Skipping it, with one log line for
+    each of its revisions, avoids both.
 
     Parameters
     ----------
     log
-        Where it is told.
+        The logger for skipped objects.
     part
-        The prefix of the lines.
+        The prefix of the log lines.
     """
 
     def __init__(self, log: logging.Logger, part: str) -> None:
         self._log = log
-        self._part = part
-        self._told = Once()
+        self._log_prefix = part
+        self._logged = Once()
 
     def read(
         self, stored: StoredObject, parse: Callable[[StoredObject], Body]
     ) -> Body | None:
-        """Return what an object says; None if that cannot be read."""
+        """Return a decoded object, or ``None`` if it is unreadable.
+
+        Parameters
+        ----------
+        stored
+            The object.
+        parse
+            Decodes the object; raises UnreadableError if it can't.
+        """
         try:
             return parse(stored)
         except UnreadableError as error:
-            if self._told.is_new(f'{stored.name} {stored.revision}'):
+            if self._logged.is_new(f'{stored.name} {stored.revision}'):
                 self._log.warning(
-                    '%s: object %s left out: %s', self._part, stored.name, error
+                    '%s: object %s left out: %s',
+                    self._log_prefix,
+                    stored.name,
+                    error,
                 )
             return None
--- a/bergamotdoor/objects/watcher.py
+++ b/bergamotdoor/objects/watcher.py
@@ -1,4 +1,4 @@
-"""Follows one kind of objects: lists it, then watches for changes."""
+"""Watcher of one object kind: lists it, then watches it for changes."""
 
 from __future__ import annotations
 
@@ -18,51 +18,52 @@
     from bergamotdoor.objects.news import News, Watch
     from bergamotdoor.stored import Change
 
-_FIRST_BACKOFF: Final = dt.timedelta(milliseconds=100)
-_LAST_BACKOFF_MS: Final = 800
-_LAST_BACKOFF: Final = dt.timedelta(milliseconds=_LAST_BACKOFF_MS)
+#: Pause after the first interruption; it doubles with each further one.
+_MIN_BACKOFF: Final = dt.timedelta(milliseconds=100)
+_MAX_BACKOFF_MS: Final = 800
+_MAX_BACKOFF: Final = dt.timedelta(milliseconds=_MAX_BACKOFF_MS)
 
 _log = logging.getLogger('bergamotdoor.objects')
 
 
 class View(Protocol):
-    """Keeps what is known of a kind."""
+    """Local copy of the objects of a kind."""
 
     def reset(self, listing: Listing) -> None:
-        """Take the whole kind."""
+        """Replace the content by all objects of the kind."""
 
     def apply(self, changes: tuple[Change, ...]) -> None:
-        """Take changes, in order."""
+        """Apply changes, in order."""
 
     def interrupted(self) -> None:
-        """Take that the store can't be reached now."""
+        """Note that the store can't be reached."""
 
 
 class Watcher:
     """Keeps a view of one kind up to date.
 
-    Failure: the store tells a watch of nothing for a while and cuts it; the
-    next watch goes on from the same revision and is told of later changes
-    only. Symptom: this process lives by an old view for as long as that
-    watch waits. After each interruption the kind is listed again, which
-    cannot miss a change, and after a watch that ended without an event the
-    next one begins at the same revision.
+    Failure: for a while the store does not report changes to a watch, and
+    then cuts it; the next watch from the same revision gets later changes
+    only. Symptom: this process uses an outdated view for as long as that
+    watch waits. Therefore the kind is listed again after each interruption,
+    since a listing can't miss a change, and after a watch that ended without
+    an event the next watch begins at the same revision.
 
     Parameters
     ----------
     store
-        Where the objects are.
+        Client of the object store, for listings.
     news
-        Tells of their changes.
+        Source of the changes.
     watch
-        Which objects, and how closely they are followed.
+        The kind, and the timing of the watches.
     view
-        Takes what is found.
+        The view to keep up to date.
     clock
-        For the pauses.
+        The clock for backoffs and for the time of proofs.
     on_proof
-        Told when the view was known to be current, in time since the
-        machine's start.
+        Called with the time up to which the view is proven current, as time
+        since the machine's start.
     """
 
     def __init__(
@@ -81,62 +82,67 @@
         self._view = view
         self._clock = clock
         self._on_proof = on_proof
-        self._backoff = _FIRST_BACKOFF
-        #: The highest revision seen.
+        self._backoff = _MIN_BACKOFF
+        #: The highest known revision of the kind.
         self.revision = Revision(0)
 
     async def run(self) -> None:
-        """Follow the kind until cancelled."""
+        """Keep the view up to date until cancelled."""
         while True:
-            began = self._clock.uptime()
+            began_at = self._clock.uptime()
             found = await list_patiently(self._store, self._kind)
-            await self._follow_listing(found, began)
+            await self._watch_from_listing(found, began_at)
 
-    async def _follow_listing(
-        self, found: Listing | Outcome, began: dt.timedelta
+    async def _watch_from_listing(
+        self, found: Listing | Outcome, began_at: dt.timedelta
     ) -> None:
+        """Apply a listing, then changes until a watch is interrupted."""
         if isinstance(found, Outcome):
-            await self._rest(found)
+            await self._back_off(found)
             return
         self._view.reset(found)
-        self._reached(found.revision)
-        self._prove(began)
+        self._advance(found.revision)
+        self._report_proof(began_at)
         outcome: Outcome | None = None
         while outcome is None:
-            outcome = await self._follow_changes()
+            outcome = await self._watch_once()
 
-    async def _follow_changes(self) -> Outcome | None:
+    async def _watch_once(self) -> Outcome | None:
+        """Apply the changes of one watch; return why it was interrupted."""
         found = await self._news.changes(self._watch, self.revision)
         if isinstance(found, Outcome):
-            return await self._interrupted(found)
+            return await self._handle_interruption(found)
         if found.changes:
             self._view.apply(found.changes)
-            self._reached(found.revision)
-        self._prove(found.proven_at)
+            self._advance(found.revision)
+        self._report_proof(found.proven_at)
         return None
 
-    def _prove(self, proven_at: dt.timedelta | None) -> None:
+    def _report_proof(self, proven_at: dt.timedelta | None) -> None:
         if self._on_proof is not None and proven_at is not None:
             self._on_proof(proven_at)
 
-    async def _interrupted(self, found: Outcome) -> Outcome:
+    async def _handle_interruption(self, found: Outcome) -> Outcome:
         if found is Outcome.HISTORY_GONE:
-            _log.info('objects: history of %s is gone, list it', self._kind)
+            _log.info(
+                'objects: change history of %s is gone, listing it', self._kind
+            )
         else:
-            await self._rest(found)
+            await self._back_off(found)
         return found
 
-    def _reached(self, revision: Revision) -> None:
+    def _advance(self, revision: Revision) -> None:
         self.revision = max(self.revision, revision)
-        self._backoff = _FIRST_BACKOFF
+        self._backoff = _MIN_BACKOFF
 
-    async def _rest(self, why: Outcome) -> None:
+    async def _back_off(self, reason: Outcome) -> None:
+        """Notify the view of an interruption, log it, and pause."""
         self._view.interrupted()
         _log.warning(
             'objects: watch of %s interrupted: %s, revision %d',
             self._kind,
-            why.value,
+            reason.value,
             self.revision,
         )
         await self._clock.sleep(self._backoff)
-        self._backoff = min(self._backoff * 2, _LAST_BACKOFF)
+        self._backoff = min(self._backoff * 2, _MAX_BACKOFF)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -104,8 +104,8 @@
     Mutation(
         'a kind is listed again after an interrupted watch',
         'objects/watcher.py',
-        '            await self._rest(found)\n        return found',
-        '            await self._rest(found)\n        return None',
+        '            await self._back_off(found)\n        return found',
+        '            await self._back_off(found)\n        return None',
         'objects_watcher',
     ),
     Mutation(
@@ -134,7 +134,7 @@
     Mutation(
         'who finds a number taken reads the record that has it',
         'objects/job_store.py',
-        'return _record(outcome.current)',
+        'return _decode_record(outcome.current)',
         'return record',
         _MODEL,
     ),
