--- a/bergamotdoor/forwarding/__init__.py
+++ b/bergamotdoor/forwarding/__init__.py
@@ -1,6 +1,6 @@
-"""Sends plain and scoring calls to upstreams: sockets and attempts.
+"""Forwarding of plain and score calls to upstreams over HTTP.
 
-What is decided about a call stands in ``calls.tries``.
+The rules that decide on the attempts of a call are in the package ``calls``.
 """
 
 from __future__ import annotations
--- a/bergamotdoor/forwarding/answers.py
+++ b/bergamotdoor/forwarding/answers.py
@@ -1,4 +1,4 @@
-"""Tells a whole answer of a call from anything else."""
+"""Evaluation of the responses of upstreams to calls."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     from bergamotdoor.forwarding.call import Call
     from bergamotdoor.http.messages import ClientResponse
 
-#: Answers up to this are read whole before anything is passed on, so that
-#: one that breaks off can be replaced by another upstream's.
+#: Limit of a response that is buffered completely before the caller gets any
+#: of it, so that another upstream's response can replace one that breaks off.
 MAX_HELD_BYTES: Final = 4_194_304
 
 _log = logging.getLogger('bergamotdoor.gateway')
@@ -34,63 +34,92 @@
 async def judge(
     context: Context, call: Call, upstream: Upstream, response: ClientResponse
 ) -> Attempt:
-    """Return what an upstream's response is worth to the caller."""
-    refused = await _refused(upstream, response)
-    if refused is not None:
-        return refused
-    where = upstream.upstream
+    """Return the attempt that an upstream's response results in.
+
+    Parameters
+    ----------
+    context
+        Services of the process.
+    call
+        The call that was sent.
+    upstream
+        The upstream that responded.
+    response
+        Its response, with an unread body.
+    """
+    refusal = await _check_refusal(upstream, response)
+    if refusal is not None:
+        return refusal
+    upstream_id = upstream.upstream
     fields = response.headers
     if fields.first(names.REQUEST_ID, call.request_id) != call.request_id:
-        # It was another request's; its connection ends with it.
+        # This is the response to another request. Closing its body closes
+        # the connection too.
         await close_body(response.body)
-        return Attempt(Verdict.MAY_HAVE_RUN, 'answer of another call', where)
+        return Attempt(
+            Verdict.MAY_HAVE_RUN, 'answer of another call', upstream_id
+        )
     good = response.status < HTTPStatus.BAD_REQUEST
     if good and not fields.first(names.STAMP):
         await close_body(response.body)
-        return Attempt(Verdict.MAY_HAVE_RUN, 'answer without proof', where)
-    if good and _passes_through(call, response):
+        return Attempt(
+            Verdict.MAY_HAVE_RUN, 'answer without proof', upstream_id
+        )
+    if good and _is_relayed(call, response):
         answer = HttpResponse(
             status=response.status,
             headers=fields,
             body=relayed_stream(context, call, upstream, response),
         )
-        return Attempt(Verdict.RAN, 'answering', where, answer, failed=False)
-    return await _held(upstream, response)
+        return Attempt(
+            Verdict.RAN, 'answering', upstream_id, answer, failed=False
+        )
+    return await _buffer_response(upstream, response)
 
 
-async def _refused(
+async def _check_refusal(
     upstream: Upstream, response: ClientResponse
 ) -> Attempt | None:
-    where = upstream.upstream
+    """Return an attempt if the upstream refused the call, else ``None``."""
+    upstream_id = upstream.upstream
     sent_before = response.sent_before
     verdict = Verdict.MAY_HAVE_RUN if sent_before else Verdict.NOT_RUN
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
-        await _discard(response)
-        return Attempt(verdict, 'replaced by another', where, replaced=True)
+        await _discard_body(response)
+        return Attempt(
+            verdict, 'replaced by another', upstream_id, replaced=True
+        )
     if response.headers.first(names.NOT_RUN):
-        await _discard(response)
-        return Attempt(verdict, 'refused by the upstream', where, refused=True)
+        await _discard_body(response)
+        return Attempt(
+            verdict, 'refused by the upstream', upstream_id, refused=True
+        )
     return None
 
 
-def _passes_through(call: Call, response: ClientResponse) -> bool:
-    """Return whether an answer is passed on as it comes."""
+def _is_relayed(call: Call, response: ClientResponse) -> bool:
+    """Return whether a response is passed on while it arrives."""
     if call.route.kind is RouteKind.STREAM:
         return True
-    declared = response.headers.first('content-length', '0')
-    return declared.isdecimal() and int(declared) > MAX_HELD_BYTES
+    length = response.headers.first('content-length', '0')
+    return length.isdecimal() and int(length) > MAX_HELD_BYTES
 
 
-async def _held(upstream: Upstream, response: ClientResponse) -> Attempt:
-    where = upstream.upstream
+async def _buffer_response(
+    upstream: Upstream, response: ClientResponse
+) -> Attempt:
+    """Read a response completely and return it as an attempt."""
+    upstream_id = upstream.upstream
     try:
         body = await response.read_body(MAX_HELD_BYTES)
     except (BodyBrokenError, BodyTooLargeError) as error:
-        return Attempt(Verdict.MAY_HAVE_RUN, f'answer broken: {error}', where)
+        return Attempt(
+            Verdict.MAY_HAVE_RUN, f'answer broken: {error}', upstream_id
+        )
     return Attempt(
         Verdict.RAN,
         'answered',
-        where,
+        upstream_id,
         HttpResponse(
             status=response.status, headers=response.headers, body=body
         ),
@@ -99,8 +128,8 @@
     )
 
 
-async def _discard(response: ClientResponse) -> None:
+async def _discard_body(response: ClientResponse) -> None:
     try:
         await response.read_body(MAX_HELD_BYTES)
     except (BodyBrokenError, BodyTooLargeError) as error:
-        _log.info('gateway: a refusal broke off: %s', error)
+        _log.info('gateway: the response of a refusal broke off: %s', error)
--- a/bergamotdoor/forwarding/attempt.py
+++ b/bergamotdoor/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a plain call at one upstream."""
+"""One attempt to have a call run by an upstream."""
 
 from __future__ import annotations
 
@@ -29,34 +29,36 @@
 async def send_call(
     context: Context, call: Call, upstream: Upstream, left: dt.timedelta
 ) -> Attempt:
-    """Send a call to an upstream and judge what comes back.
+    """Send a call to an upstream and return the resulting attempt.
+
+    The load of the upstream and the strikes of the call are updated.
 
     Parameters
     ----------
     context
         Services of the process.
     call
-        What to send.
+        The call to send.
     upstream
-        Where to.
+        The upstream to send it to.
     left
-        How long the caller still waits.
+        The time that the upstream has to respond.
     """
-    began = context.clock.elapsed()
-    before = strikes_of(context, call)
+    began_at = context.clock.elapsed()
+    strikes_before = strikes_of(context, call)
     attempt = await _send(context, call, upstream, left)
-    took = context.clock.elapsed() - began
-    _learn(context, attempt, upstream, took)
+    latency = context.clock.elapsed() - began_at
+    _update_load(context, attempt, upstream, latency)
     if attempt.failed:
         context.metrics.count(Counted.ATTEMPT_FAILED, upstream.service)
-        _tell_failure(call, attempt, took)
+        _log_failure(call, attempt, latency)
     if attempt.broke:
-        await note_end(context, upstream, call.fingerprint, before)
+        await note_end(context, upstream, call.fingerprint, strikes_before)
     return attempt
 
 
-def _tell_failure(call: Call, attempt: Attempt, took: dt.timedelta) -> None:
-    """Log one attempt: a call's own line tells of its last one only."""
+def _log_failure(call: Call, attempt: Attempt, latency: dt.timedelta) -> None:
+    """Log a failed attempt; the line of the call has its last one only."""
     _log.info(
         'gateway: call %s, fingerprint %s, at %s: %s, %s after %d ms',
         call.request_id,
@@ -64,7 +66,7 @@
         attempt.upstream,
         attempt.verdict.value,
         attempt.detail,
-        utils.to_ms(took),
+        utils.to_ms(latency),
     )
 
 
@@ -76,30 +78,31 @@
     if isinstance(response, ClientFailure):
         verdict = Verdict.MAY_HAVE_RUN if response.sent else Verdict.NOT_RUN
         return Attempt(verdict, response.detail, upstream.upstream)
-    told = names.parse_load(response.headers.first(names.LOAD))
-    if told is not None:
+    reported = names.parse_load(response.headers.first(names.LOAD))
+    if reported is not None:
         load = context.loads.of(upstream.upstream)
-        load.told(told.running + told.waiting, context.clock.elapsed())
+        load.told(reported.running + reported.waiting, context.clock.elapsed())
     return await judge(context, call, upstream, response)
 
 
-def _learn(
+def _update_load(
     context: Context,
     attempt: Attempt,
     upstream: Upstream,
     latency: dt.timedelta,
 ) -> None:
+    """Record an attempt in the load of its upstream."""
     load = context.loads.of(upstream.upstream)
     now = context.clock.elapsed()
     if attempt.replaced:
         context.fleet.replaced(upstream.upstream)
     elif attempt.failed:
-        _learn_failure(load, attempt, now)
+        _record_failure(load, attempt, now)
     else:
         load.answered(latency)
 
 
-def _learn_failure(
+def _record_failure(
     load: UpstreamLoad, attempt: Attempt, now: dt.timedelta
 ) -> None:
     if attempt.refused:
--- a/bergamotdoor/forwarding/call.py
+++ b/bergamotdoor/forwarding/call.py
@@ -1,4 +1,4 @@
-"""A call and what became of its attempts."""
+"""A call to forward, and the result of an attempt to run it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Call(msgspec.Struct):
-    """A request as its caller, or a trainer, wants it sent."""
+    """A request to forward: a caller's, or a score call of a trainer's item."""
 
     request_id: str
     method: str
@@ -27,46 +27,50 @@
     body: bytes
     route: Route
     rules: CallRules
-    #: In the clock's time.
+    #: Monotonic time at which the call began.
     began: dt.timedelta
-    #: When the first upstream that may have run it got it, or for a stream
-    #: answered it; None if none has.
+    #: Monotonic time at which the call was sent to the first upstream that may
+    #: have run it; for a stream, at which that upstream responded. ``None`` if
+    #: no upstream may have run it.
     ran_at: dt.timedelta | None = None
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What stays the same when the call comes again."""
+        """Hash that is the same for all retries of the call."""
         host = self.headers.first('host')
         return fingerprint(self.method, host, self.target, self.body)
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """What one upstream made of a call; `answer` only if it is whole."""
+    """Result of sending a call to an upstream."""
 
     verdict: Verdict
+    #: Description for logs and for the caller.
     detail: str
     upstream: str = ''
+    #: The complete response, or one that is relayed while it arrives; ``None``
+    #: if there is neither.
     answer: HttpResponse | None = None
-    #: Whether another upstream may do better.
+    #: Whether another upstream may succeed.
     failed: bool = True
-    #: Another incarnation is at its address.
+    #: Whether another incarnation of the upstream is at its address.
     replaced: bool = False
-    #: The upstream itself said that it did not run the call.
+    #: Whether the upstream itself reported that it did not run the call.
     refused: bool = False
-    #: How many upstreams ran the call and answered that they failed.
+    #: Number of upstreams that ran the call and responded that it failed.
     failures: int = 0
-    #: When the call may come again, where that is known.
+    #: Time after which the caller may retry the call, if it is known.
     retry_after: dt.timedelta | None = None
 
     @property
     def served(self) -> bool:
-        """Whether an upstream ran it to its end; a stream has just begun."""
+        """Whether the response is complete; a relayed one has only begun."""
         answer = self.answer
-        whole = answer is not None and isinstance(answer.body, bytes)
-        return whole and self.verdict is Verdict.RAN
+        is_buffered = answer is not None and isinstance(answer.body, bytes)
+        return is_buffered and self.verdict is Verdict.RAN
 
     @property
     def broke(self) -> bool:
-        """Whether it may have run, and gave no whole answer."""
+        """Whether the call may have run, but there is no response."""
         may_have_run = self.verdict is Verdict.MAY_HAVE_RUN
         return may_have_run and self.answer is None
--- a/bergamotdoor/forwarding/call_request.py
+++ b/bergamotdoor/forwarding/call_request.py
@@ -1,4 +1,4 @@
-"""What an upstream gets of a call."""
+"""The request that is sent to an upstream for a call."""
 
 from __future__ import annotations
 
@@ -18,15 +18,25 @@
 def call_request(
     call: Call, upstream: Upstream, left: dt.timedelta
 ) -> ClientRequest:
-    """Return the request that an upstream gets."""
-    passed = call.headers.without(
+    """Return the request that is sent to an upstream.
+
+    Parameters
+    ----------
+    call
+        The call to send.
+    upstream
+        The upstream that gets the request.
+    left
+        The time that the upstream has to respond.
+    """
+    headers = call.headers.without(
         (names.DEADLINE_MS, names.EXPECT_REGISTRATION)
     )
     return ClientRequest(
         address=upstream.address,
         method=call.method,
         target=call.target,
-        headers=passed.plus(
+        headers=headers.plus(
             (names.DEADLINE_MS, str(max(utils.to_ms(left), 1))),
             (names.EXPECT_REGISTRATION, upstream.registration),
         ),
--- a/bergamotdoor/forwarding/counted.py
+++ b/bergamotdoor/forwarding/counted.py
@@ -1,4 +1,4 @@
-"""Requests that are counted in an upstream's load as long as they run."""
+"""Tasks that count as requests in flight at an upstream while they run."""
 
 from __future__ import annotations
 
@@ -16,13 +16,21 @@
 def start_counted(
     load: UpstreamLoad, work: Coroutine[None, None, Value]
 ) -> asyncio.Task[Value]:
-    """Start a request's task, counted from now to its end.
-
-    Failure: a task that is cancelled before its first step runs none of
-    its code, and an upstream that left and came back has a new load.
-    Symptom: an upstream seems to have requests that it has not, or fewer
-    than none, and gets too few or too many. The task's end is seen from
-    outside, and counted where its begin was.
+    """Start a task that counts as a request in flight until it ends.
+
+    Failure: a task that is cancelled before its first step runs none of its
+    code, so it can't count its own end; and an upstream that left and came
+    back has a new load object. Symptom: the number of requests in flight is
+    too high, or negative, and the upstream gets too few or too many requests.
+    Therefore a callback of the task counts its end, in the same load object
+    as its beginning.
+
+    Parameters
+    ----------
+    load
+        The load of the upstream.
+    work
+        The coroutine that sends the request.
     """
     load.enter()
     task = asyncio.create_task(work)
--- a/bergamotdoor/forwarding/forwarder.py
+++ b/bergamotdoor/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Sends a call to upstreams until one answers it."""
+"""Forwarding of a call to one upstream after another until one responds."""
 
 from __future__ import annotations
 
@@ -30,35 +30,44 @@
 
 
 class Forwarder:
-    """Forwards calls of callers, and scoring calls of trainers' items."""
+    """Forwards calls of callers, and score calls of trainers' items.
+
+    Parameters
+    ----------
+    context
+        Services of the process.
+    """
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     async def forward(self, call: Call) -> Attempt:
-        """Return an upstream's answer, or why there is none."""
+        """Return the attempt that decides a call.
+
+        It has the response of an upstream, or the reason why there is none.
+        """
         service = pick_service(call.route, self._context.rng.random())
-        outcome = await _Exchange(self._context, call, service).run()
-        took = self._context.clock.elapsed() - call.began
+        outcome = await _ForwardedCall(self._context, call, service).run()
+        latency = self._context.clock.elapsed() - call.began
         _log.info(
             'gateway: call %s: %s by %s after %d ms, route %s, status %s',
             call.request_id,
             outcome.detail,
             outcome.upstream,
-            utils.to_ms(took),
+            utils.to_ms(latency),
             call.route.name,
             outcome.answer.status if outcome.answer else '-',
         )
-        self._count(outcome, service, took)
+        self._count_call(outcome, service, latency)
         if outcome.served and self._context.quarantine:
             self._context.quarantine.completed(call.fingerprint)
         return outcome
 
-    def _count(
-        self, outcome: Attempt, service: ServiceId, took: dt.timedelta
+    def _count_call(
+        self, outcome: Attempt, service: ServiceId, latency: dt.timedelta
     ) -> None:
         metrics = self._context.metrics
-        metrics.record(Stage.TOTAL, took, service)
+        metrics.record(Stage.TOTAL, latency, service)
         if outcome.answer is None:
             refused = outcome.verdict is Verdict.NOT_RUN
             counted = Counted.CALL_REFUSED if refused else Counted.CALL_UNCLEAR
@@ -67,8 +76,8 @@
         metrics.count(counted, service)
 
 
-class _Exchange:
-    """Carries out the attempts of one call."""
+class _ForwardedCall:
+    """One call, and its attempts at the upstreams of a service."""
 
     def __init__(
         self, context: Context, call: Call, service: ServiceId
@@ -76,104 +85,115 @@
         self._context = context
         self._call = call
         self._service = service
-        self._tries = Tries(call.rules, context.settings.zone)
-        #: Attempts under way, and when they were sent.
-        self._running: dict[asyncio.Task[Attempt], dt.timedelta] = {}
-        #: How many upstreams answered that they failed.
+        self._attempts = Tries(call.rules, context.settings.zone)
+        #: Attempts in flight, with the monotonic time of their beginning.
+        self._in_flight: dict[asyncio.Task[Attempt], dt.timedelta] = {}
+        #: Number of upstreams that ran the call and responded that it failed.
         self._failures = 0
-        self._last = Attempt(Verdict.NOT_RUN, 'no upstream')
+        self._last_attempt = Attempt(Verdict.NOT_RUN, 'no upstream')
 
     async def run(self) -> Attempt:
-        """Ask upstream after upstream, a second one beside a slow one."""
+        """Send the call to one upstream after another.
+
+        A hedged request is sent beside one that takes long.
+        """
         try:
-            outcome = await self._run()
+            outcome = await self._run_attempts()
         finally:
-            for task, sent_at in self._running.items():
+            for task, sent_at in self._in_flight.items():
                 task.cancel()
-                self._ran(sent_at)
+                self._record_run(sent_at)
         return msgspec.structs.replace(outcome, failures=self._failures)
 
-    async def _run(self) -> Attempt:
-        while self._begin() or self._running:
-            for attempt in await self._ended():
+    async def _run_attempts(self) -> Attempt:
+        while self._begin_attempt() or self._in_flight:
+            for attempt in await self._wait_for_attempts():
                 if not attempt.failed:
                     return attempt
-                self._note(attempt)
-            if self._tries.out_of_time(self._now()):
-                return Attempt(self._tries.verdict, 'out of time')
-        return self._result()
-
-    def _begin(self) -> bool:
-        if self._rest():
+                self._record_attempt(attempt)
+            if self._attempts.out_of_time(self._now()):
+                return Attempt(self._attempts.verdict, 'out of time')
+        return self._final_attempt()
+
+    def _begin_attempt(self) -> bool:
+        """Send the call to one more upstream; return whether it was sent."""
+        if self._quarantine_time():
             return False
         upstreams = self._context.fleet.of_service(self._service)
         now = self._now()
-        upstream = self._tries.begin(upstreams, self._context.loads, now)
+        upstream = self._attempts.begin(upstreams, self._context.loads, now)
         if upstream is None:
             return False
         work = send_call(
-            self._context, self._call, upstream, self._tries.left(now)
+            self._context, self._call, upstream, self._attempts.left(now)
         )
-        # Counted before the task begins: calls that start together would
-        # all choose the same upstream.
+        # The attempt counts in the load before its task begins. Otherwise
+        # calls that start together would all choose the same upstream.
         load = self._context.loads.of(upstream.upstream)
-        self._running[start_counted(load, work)] = now
+        self._in_flight[start_counted(load, work)] = now
         return True
 
-    def _ran(self, sent_at: dt.timedelta) -> None:
-        """Take that an upstream may have run the call."""
+    def _record_run(self, sent_at: dt.timedelta) -> None:
+        """Record when an upstream may have begun to run the call."""
         known = self._call.ran_at
         if self._call.route.kind is RouteKind.STREAM:
-            # A stream begins to run with its first token.
+            # A stream counts as running from its first token on.
             sent_at = self._now()
         self._call.ran_at = sent_at if known is None else min(known, sent_at)
 
-    def _rest(self) -> dt.timedelta:
-        """Return how long the call must not be sent."""
+    def _quarantine_time(self) -> dt.timedelta:
+        """Return how much longer the call is in quarantine.
+
+        The number of strikes that the attempts use is updated too.
+        """
         quarantine = self._context.quarantine
         if not quarantine:
             return _NO_TIME
         fingerprint = self._call.fingerprint
-        self._tries.strikes = quarantine.strikes(fingerprint)
+        self._attempts.strikes = quarantine.strikes(fingerprint)
         return quarantine.rest(fingerprint, CALL_STRIKES, self._now())
 
-    async def _ended(self) -> list[Attempt]:
-        patience = self._tries.patience(self._now())
+    async def _wait_for_attempts(self) -> list[Attempt]:
+        """Return the attempts that ended; empty after a timeout."""
+        wait_time = self._attempts.patience(self._now())
         done, _ = await asyncio.wait(
-            self._running,
-            timeout=patience.total_seconds(),
+            self._in_flight,
+            timeout=wait_time.total_seconds(),
             return_when=asyncio.FIRST_COMPLETED,
         )
         attempts = []
-        for ended in done:
-            sent_at = self._running.pop(ended)
-            attempts.append(ended.result())
+        for task in done:
+            sent_at = self._in_flight.pop(task)
+            attempts.append(task.result())
             if attempts[-1].verdict is not Verdict.NOT_RUN:
-                self._ran(sent_at)
+                self._record_run(sent_at)
         return attempts
 
-    def _note(self, attempt: Attempt) -> None:
-        self._tries.end(attempt.verdict)
+    def _record_attempt(self, attempt: Attempt) -> None:
+        self._attempts.end(attempt.verdict)
         self._failures += attempt.failures
-        if attempt.answer is not None or self._last.answer is None:
-            self._last = attempt
+        if attempt.answer is not None or self._last_attempt.answer is None:
+            self._last_attempt = attempt
 
     def _now(self) -> dt.timedelta:
         return self._context.clock.elapsed()
 
-    def _result(self) -> Attempt:
-        rest = self._rest()
-        if rest and self._last.answer is None:
+    def _final_attempt(self) -> Attempt:
+        """Return the attempt that decides the call when none succeeded."""
+        retry_after = self._quarantine_time()
+        if retry_after and self._last_attempt.answer is None:
             self._context.metrics.count(Counted.CALL_QUARANTINED, self._service)
-            ended = self._tries.strikes
+            strikes = self._attempts.strikes
             return Attempt(
-                self._tries.verdict,
-                f'in quarantine, {ended} upstreams ended under it',
-                self._last.upstream,
-                retry_after=rest,
+                self._attempts.verdict,
+                f'in quarantine, {strikes} upstreams ended under it',
+                self._last_attempt.upstream,
+                retry_after=retry_after,
             )
-        if self._last.answer is None and self._tries.ran:
+        if self._last_attempt.answer is None and self._attempts.ran:
             return Attempt(
-                Verdict.MAY_HAVE_RUN, self._last.detail, self._last.upstream
+                Verdict.MAY_HAVE_RUN,
+                self._last_attempt.detail,
+                self._last_attempt.upstream,
             )
-        return self._last
+        return self._last_attempt
--- a/bergamotdoor/forwarding/relayed_stream.py
+++ b/bergamotdoor/forwarding/relayed_stream.py
@@ -1,4 +1,4 @@
-"""Passes an answer on as it comes, and goes on with it elsewhere."""
+"""Relaying of responses while they arrive, resumed at another upstream."""
 
 from __future__ import annotations
 
@@ -32,43 +32,58 @@
 async def relayed_stream(
     context: Context, call: Call, upstream: Upstream, response: ClientResponse
 ) -> AsyncIterator[bytes]:
-    """Yield an answer's pieces; whole events where it may be resumed.
+    """Yield the body of a response while it arrives.
+
+    A stream that may be resumed is yielded in complete events.
+
+    Parameters
+    ----------
+    context
+        Services of the process.
+    call
+        The call that the response belongs to.
+    upstream
+        The upstream that responded.
+    response
+        Its response, with an unread body.
 
     Raises
     ------
     BodyBrokenError
-        The answer broke off and cannot go on. The caller's connection
-        must be cut, or a part would be taken for the whole.
+        If the response broke off and can't be resumed. The caller's
+        connection must be cut then, so that the caller does not mistake the
+        incomplete response for a complete one.
     """
     if call.route.resumable:
-        pieces = _ResumedStream(context, call, upstream, response).events()
+        pieces = _ResumableStream(context, call, upstream, response).events()
     else:
-        pieces = _pieces(context, call, upstream, response)
-    # Closed with this one, so that an upstream stops when its caller leaves.
+        pieces = _relay_unresumable(context, call, upstream, response)
+    # Closing this generator closes the pieces too, so that the upstream stops
+    # when the caller disconnects.
     async with contextlib.aclosing(pieces) as relayed:
         async for piece in relayed:
             yield piece
     context.quarantine.completed(call.fingerprint)
 
 
-async def _pieces(
+async def _relay_unresumable(
     context: Context, call: Call, upstream: Upstream, response: ClientResponse
 ) -> AsyncGenerator[bytes, None]:
-    """Yield an answer that can't go on elsewhere."""
-    before = strikes_of(context, call)
+    """Yield the pieces of a response that no other upstream can resume."""
+    strikes_before = strikes_of(context, call)
     try:
         async for piece in response.body:
             yield piece
     except BodyBrokenError:
-        await note_end(context, upstream, call.fingerprint, before)
+        await note_end(context, upstream, call.fingerprint, strikes_before)
         raise
 
 
-class _ResumedStream:
-    """One stream over all upstreams that generate a part of it.
+class _ResumableStream:
+    """A stream that is resumed at another upstream when it breaks off.
 
-    An upstream may break off within an event, so only whole events are
-    passed on, and the next upstream begins behind the last of them.
+    A stream may break off within an event, so only complete events are passed
+    on, and the next upstream begins after the last of them.
     """
 
     def __init__(
@@ -81,44 +96,49 @@
         self._context = context
         self._call = call
         self._response = response
-        self._asked = [upstream]
-        self._before = strikes_of(context, call)
-        self._last = call.headers.first(names.LAST_EVENT_ID)
+        self._upstreams = [upstream]
+        self._strikes_before = strikes_of(context, call)
+        self._last_event_id = call.headers.first(names.LAST_EVENT_ID)
 
     async def events(self) -> AsyncGenerator[bytes, None]:
-        """Yield whole events to the end of the stream."""
-        whole = False
-        while not whole:
+        """Yield complete events up to the end of the stream."""
+        is_complete = False
+        while not is_complete:
             try:
-                async for event in _events_of(self._response):
-                    self._last = str(event.number)
+                async for event in _read_events(self._response):
+                    self._last_event_id = str(event.number)
                     yield event.raw
             except (BodyBrokenError, ValueError) as error:
-                await self._go_on(error)
+                await self._resume(error)
             else:
-                whole = True
+                is_complete = True
 
-    async def _go_on(self, error: Exception) -> None:
+    async def _resume(self, error: Exception) -> None:
+        """Resume the stream at another upstream after an error."""
         await close_body(self._response.body)
-        await self._note_end()
-        found = await self._next_response(error)
+        await self._record_crash()
+        response = await self._next_response(error)
         _log.info(
-            'gateway: call %s goes on at %s behind event %s: %s',
+            'gateway: call %s resumed at %s after event %s: %s',
             self._call.request_id,
-            self._asked[-1].upstream,
-            self._last,
+            self._upstreams[-1].upstream,
+            self._last_event_id,
             error,
         )
-        self._response = found
+        self._response = response
 
-    async def _note_end(self) -> None:
+    async def _record_crash(self) -> None:
+        """Record a strike if the last upstream crashed."""
         fingerprint = self._call.fingerprint
         await note_end(
-            self._context, self._asked[-1], fingerprint, self._before
+            self._context,
+            self._upstreams[-1],
+            fingerprint,
+            self._strikes_before,
         )
-        self._before = strikes_of(self._context, self._call)
+        self._strikes_before = strikes_of(self._context, self._call)
 
-    def _rests(self) -> bool:
+    def _is_quarantined(self) -> bool:
         now = self._context.clock.elapsed()
         fingerprint = self._call.fingerprint
         return bool(
@@ -126,38 +146,43 @@
         )
 
     async def _next_response(self, error: Exception) -> ClientResponse:
-        while len(self._asked) < self._call.route.max_attempts:
-            upstream = None if self._rests() else self._choose()
+        while len(self._upstreams) < self._call.route.max_attempts:
+            upstream = (
+                None if self._is_quarantined() else self._choose_upstream()
+            )
             if upstream is None:
                 break
-            self._asked.append(upstream)
-            response = await self._ask(upstream)
+            self._upstreams.append(upstream)
+            response = await self._send(upstream)
             if response is not None:
                 return response
-        raise BodyBrokenError(f'the stream cannot go on: {error}')
+        raise BodyBrokenError(f'the stream cannot be resumed: {error}')
+
+    async def _send(self, upstream: Upstream) -> ClientResponse | None:
+        """Return an upstream's response with the rest of the stream.
 
-    async def _ask(self, upstream: Upstream) -> ClientResponse | None:
-        """Return what an upstream goes on with, if it does."""
-        left = self._call.rules.deadline - self._context.clock.elapsed()
+        ``None`` if the upstream does not resume the stream.
+        """
+        time_left = self._call.rules.deadline - self._context.clock.elapsed()
         response = await self._context.client.send(
-            call_request(self._behind_last(), upstream, left)
+            call_request(self._remaining_call(), upstream, time_left)
         )
         if not isinstance(response, ClientResponse):
             if response.sent:
-                await self._note_end()
+                await self._record_crash()
             return None
         if response.status == HTTPStatus.OK:
             return response
         await close_body(response.body)
         return None
 
-    def _choose(self) -> Upstream | None:
-        asked = {upstream.upstream for upstream in self._asked}
-        service = self._asked[0].service
+    def _choose_upstream(self) -> Upstream | None:
+        used = {upstream.upstream for upstream in self._upstreams}
+        service = self._upstreams[0].service
         candidates = [
             upstream
             for upstream in self._context.fleet.of_service(service)
-            if upstream.upstream not in asked
+            if upstream.upstream not in used
         ]
         return fastest(
             candidates,
@@ -166,16 +191,18 @@
             self._context.clock.elapsed(),
         )
 
-    def _behind_last(self) -> Call:
+    def _remaining_call(self) -> Call:
+        """Return the call for the events after the last one passed on."""
         headers = self._call.headers.without((names.LAST_EVENT_ID,))
-        if self._last:
-            headers = headers.plus((names.LAST_EVENT_ID, self._last))
+        if self._last_event_id:
+            headers = headers.plus((names.LAST_EVENT_ID, self._last_event_id))
         return msgspec.structs.replace(self._call, headers=headers)
 
 
-async def _events_of(
+async def _read_events(
     response: ClientResponse,
 ) -> AsyncIterator[GeneratedEvent]:
+    """Yield the complete events of a response."""
     reader = EventReader(names.WEIGHT_VERSION)
     async for piece in response.body:
         for event in reader.feed(piece):
--- a/bergamotdoor/forwarding/upstream_end.py
+++ b/bergamotdoor/forwarding/upstream_end.py
@@ -1,4 +1,4 @@
-"""Finds out whether an upstream ended under a request."""
+"""Detection of upstreams that crash while they run a request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def strikes_of(context: Context, call: Call) -> int:
-    """Return how many upstreams ended under a call in a chain."""
+    """Return how many upstreams crashed in turn while they ran a call."""
     quarantine = context.quarantine
     return quarantine.strikes(call.fingerprint) if quarantine else 0
 
@@ -25,27 +25,28 @@
 async def note_end(
     context: Context, upstream: Upstream, fingerprint: Fingerprint, before: int
 ) -> None:
-    """Take a request that broke at an upstream; it may have ended it.
+    """Record a strike if an upstream crashed while it ran a request.
 
-    Failure: a break alone says little: a link resets, an answer is cut
-    off, an upstream that was told to leave ends with a request in progress.
-    Symptom: requests that did nothing would rest. An upstream that has not
-    announced that it leaves, and at whose address nobody listens a moment
-    after the break, has ended under the request; one that lost power
-    neither breaks the connection nor refuses the next one.
+    Failure: a request that breaks off does not prove a crash: a connection may
+    be reset, a response cut, or an upstream that shuts down may stop with a
+    request in progress. Symptom: harmless requests would be put in
+    quarantine. Only an upstream that has not announced its shutdown, and
+    whose address refuses connections a moment after the break, has crashed.
+    An upstream that lost power gets no strike: it neither breaks the
+    connection nor refuses a new one.
 
     Parameters
     ----------
     context
         Services of the process.
     upstream
-        Where it broke.
+        The upstream at which the request broke off.
     fingerprint
-        Of the request.
+        Fingerprint of the request.
     before
-        How many were known to have ended under it when it was sent.
+        The number of crashes known for the request when it was sent.
     """
-    if _leaves(context, upstream):
+    if _is_leaving(context, upstream):
         return
     if not await context.client.refuses(upstream.address):
         return
@@ -64,6 +65,7 @@
     )
 
 
-def _leaves(context: Context, upstream: Upstream) -> bool:
+def _is_leaving(context: Context, upstream: Upstream) -> bool:
+    """Return whether an upstream is draining or has left already."""
     known = context.fleet.registered(upstream.registration)
     return known is None or known.draining
