--- a/features/objects_foreign.feature
+++ b/features/objects_foreign.feature
@@ -1,16 +1,17 @@
-Feature: objects of other writers under kinds that are followed
+Feature: objects of other writers under the kinds that are followed
 
-  Scenario: one bad entry among good ones hides none of them
-    Pages drawn by Hypothesis: sound registrations with another writer's
-    object among them (fields missing, of another type, an unknown state,
-    numbers that no clock holds, no name, bytes that are no text).
+  Scenario: an invalid object does not hide valid registrations
+    Hypothesis draws pages of valid registrations with one object of another
+    writer among them: missing fields, fields of another type, an unknown
+    state, numbers outside the range of a clock, no name, or bytes that are no
+    text.
 
-    Then 300 pages of good entries with a bad one give just the good ones
-    And 300 answers of watches with a bad change give just the good changes
+    Then 300 pages of registrations with an invalid object give only valid ones
+    And 300 watch responses with an invalid change give only valid changes
 
-  Scenario Outline: an entry that is not as upstreams write it names none
-    Given an entry whose <field> is <written>
-    Then it names no upstream
+  Scenario Outline: an invalid registration names no upstream
+    Given a registration whose <field> is <written>
+    Then no upstream can be read from it
 
     Examples:
       | field        | written      |
@@ -29,31 +30,32 @@
       | born         | "1700000000" |
       | models       | {}           |
 
-  Scenario: an upstream's entry is overwritten by another writer
-    The entry says no more where the upstream is, until the upstream itself
-    writes again a second later. Requests go to the other one meanwhile.
+  Scenario: another writer overwrites an upstream's registration
+    The address of the upstream is unknown until the upstream itself writes its
+    registration again a second later. Until then, requests are sent to the
+    other upstream.
 
-    Given a site whose first service's entry is overwritten for 1 s
-    Then callers are served by the second one, and then by both
+    Given a site whose first service's registration is overwritten for 1 s
+    Then the second service alone answers calls, and later both do
 
-  Scenario: what cannot be read is told once a revision
-    A foreign entry is listed again with every interrupted watch.
+  Scenario: each revision of an unreadable object is logged once
+    The object is listed again after each interrupted watch.
 
-    Given a view that is shown a foreign entry 5 times in 2 revisions
+    Given a view that gets a foreign object 5 times in 2 revisions
     Then the log has 2 lines about it
 
-  Scenario: a site with foreign objects of every kind serves on
-    Another writer puts objects of its own under every kind: manifest,
+  Scenario: a site with foreign objects of every kind stays in service
+    Another writer puts its own objects under every kind: manifest,
     registrations, versions, evacuations, entries, jobs and parts of a job.
 
     Given a site with foreign objects under every kind
-    Then calls are answered, and a job is whole at every entry
-    And an engine takes a new version
-    And a storage machine is emptied when it is asked to be
+    Then calls are answered, and every entry has all results of a job
+    And an engine loads the new version
+    And a storage VM is evacuated on request
 
-  Scenario: a record of a job that cannot be read is not guessed at
-    Another writer has overwritten the record of results that comes next.
-    Nobody can say what stands at its positions, so nobody says anything.
+  Scenario: an unreadable record of results is not skipped
+    Another writer has overwritten the next record of results. The results at
+    its positions are unknown, so no entry lists results for them.
 
-    Given a site whose job has a broken record of results
-    Then its results are answered with 503 after a restart
+    Given a site whose job has an unreadable record of results
+    Then requests for its results get status 503 after the owner's crash
--- a/features/objects_jobs.feature
+++ b/features/objects_jobs.feature
@@ -1,15 +1,15 @@
 Feature: batch jobs in the store
 
-  Scenario Outline: a job that is there is never told to be refused
-    A job is created and the answer is lost. The second try finds it there,
-    without being told what it is, and the store refuses to read it. A 503
-    promises that nothing of the job runs; it does.
+  Scenario Outline: a stored job is never reported as refused
+    A job is created, but the response is lost. The second attempt gets a
+    conflict response without the job, and the store refuses to return it. A
+    503 would promise the trainer that nothing of the job runs, but it runs.
 
-    Given a store that has a job, shows none in conflicts and <reads>
-    When the job is handed in
-    Then it is not known whether it is kept
+    Given a store with the job that omits it from conflicts and <reads>
+    When the job is submitted to this store
+    Then the outcome of the submission is unclear
 
     Examples:
-      | reads         |
-      | refuses reads |
-      | loses reads   |
+      | reads                 |
+      | refuses reads         |
+      | does not answer reads |
--- a/features/objects_watcher.feature
+++ b/features/objects_watcher.feature
@@ -1,75 +1,76 @@
 Feature: following a kind of objects in the store
 
   Scenario: a change during an interruption is not missed
-    The store stops telling watches of changes, drops its history and cuts
-    them, in this order. A watch that begins right after the cut waits for
-    the next change and never hears of the one before it. Callers would get
-    answers by the old manifest for as long as the watch lasts.
+    The store stops reporting changes to watches, drops its history and cuts
+    the watches, in this order. A watch that begins right after the cut waits
+    for the next change and never gets the one before it. Callers would get
+    responses by the old manifest for as long as this watch lasts.
 
-    Given a site whose store becomes deaf, changes and cuts its watches
+    Given a site whose store hides a change from its watches and cuts them
     Then every entry has the newest manifest 2 s later
 
-  Scenario: without its history the store is listed again
+  Scenario: a kind is listed again after the store dropped its history
     Given a site whose store drops its history after a change
     Then every entry has the newest manifest 2 s later
 
-  Scenario: upstreams that lapsed with the store stay for two seconds
-    Registrations expire while the store is away. The living register again
-    within two seconds of its return; refusing callers until then would turn
-    a short outage of the store into one of the service.
+  Scenario: registrations that expire in a store outage are kept two seconds
+    Registrations expire while the store is unavailable. Running upstreams
+    register again within two seconds of its return. If callers were refused
+    until then, a short outage of the store would become one of the service.
 
-    Given a site whose registrations lapse while the store is away
+    Given a site whose registrations expire during a store outage
     Then calls are answered right after the store's return
     And upstreams that are still missing 4 s later get no calls
 
-  Scenario: a relayed watch that was cut is not begun again by another entry
-    The entry was cut off a moment ago, so its watch waits at another entry.
-    The store cuts that one too, and a third entry would go on with it from
-    the old revision: it hears of later changes only.
+  Scenario: another entry does not resume a relayed watch that was cut
+    An entry has just lost its connection to the store, so another entry relays
+    its watch. The store cuts that watch too, and a third entry would resume it
+    from the old revision, where it gets later changes only.
 
-    Given a site where an entry's watch waits at another entry when it is cut
+    Given a site where another entry relays a watch that is cut
     Then every entry has the newest manifest 2 s later
 
   Scenario: a watch that ends without an event proves nothing
-    The store tells watches of nothing while a change is made, and then ends
+    The store reports nothing to watches while a change is made, and then ends
     them in order, without an event and at the newest revision. A watch from
-    there would be told of later changes only.
+    that revision would get later changes only.
 
-    Given a site whose store ends watches without telling of a change
+    Given a site whose store ends watches without reporting a change
     Then every entry has the newest manifest 3 s later
 
-  Scenario: a watch that is told of nothing any more is not trusted for long
+  Scenario: a watch that gets no changes any more ends in time
     The store drops its history while a change is made, and does not cut the
-    watches that wait: they stay open and silent. The rules hold again three
-    seconds later, and callers must be answered by the new manifest.
+    waiting watches: they stay open without a response. The consistency rules
+    hold again three seconds later, and callers must get responses by the new
+    manifest then.
 
     Given a site whose store drops its history and leaves watches waiting
     Then every entry has the newest manifest 3 s later
 
-  Scenario: a watch that waits is no call without an answer
-    A call that gets no answer for 350 ms goes through another entry as well.
-    A watch waits longer by its nature; taken for such a call it would be
-    made twice, and the entry would go round by others for nothing.
+  Scenario: a waiting watch does not count as an unanswered call
+    A call without a response for 350 ms is sent through another entry as well.
+    A watch is meant to wait longer. If it counted as an unanswered call, it
+    would be sent twice, and the entry would use other entries needlessly.
 
     Given a site that is idle for 10 s
     Then each entry made at most 5 watches of each kind
 
-  Scenario: a watch that the store has swallowed is given up in time
-    The watches that wait end, and the next ones are taken by a store that is
-    silent by now and never answers them. Sent on kept connections, each was
-    sent again when its time was up, and swallowed again. The rules hold three
-    seconds after the store's return, and callers were answered by the
-    manifest of before.
+  Scenario: a watch that the store never answers times out
+    The waiting watches end, and the store accepts the next ones while it is
+    unresponsive, so that it never answers them. On reused connections, each
+    watch was sent again after its timeout, and was lost again. The consistency
+    rules hold three seconds after the store's return, but callers got
+    responses by the previous manifest.
 
     Given a site whose store is silent for 6.5 s and never answers its watches
     Then every entry has the newest manifest 3 s later
 
-  Scenario: a listing that the store has swallowed is not waited for
-    The store is silent when its watches are cut. Each entry lists, by itself
-    as well as through others; nothing of that is ever answered, not even the
-    second attempts on new connections. Right after those the store is back
-    with a new manifest. The listings run out of time three seconds later;
-    callers were answered by the manifest of before meanwhile.
+  Scenario: a listing that the store never answers is hedged
+    The store is unresponsive when its watches are cut. Each entry sends a
+    listing directly and through other entries. The store never answers any of
+    them, not even the second attempts on new connections. Right after those it
+    returns with a new manifest. The listings time out three seconds later;
+    callers got responses by the previous manifest until then.
 
-    Given a site whose store swallows the listings after its watches were cut
+    Given a site whose store never answers listings after it cut its watches
     Then every entry has the newest manifest 3 s later
--- a/features/steps/objects_foreign_steps.py
+++ b/features/steps/objects_foreign_steps.py
@@ -1,4 +1,4 @@
-"""Steps for objects that other writers put under kinds of ours."""
+"""Steps for objects that other writers put under the followed kinds."""
 
 from __future__ import annotations
 
@@ -35,6 +35,7 @@
 
 
 def registration(number: int) -> dict[str, Any]:
+    """Return the spec of a valid registration."""
     return {
         'service': 'lm',
         'address': f'10.0.0.{number}:80',
@@ -48,12 +49,13 @@
     }
 
 
-def listed(name: str, spec: Any) -> dict[str, Any]:
+def object_of(name: str, spec: Any) -> dict[str, Any]:
+    """Return an object as the store lists it."""
     return {'metadata': {'name': name, 'rev': 7}, 'spec': spec}
 
 
 REMOVED = object()
-STRANGE = draws.one_of(
+UNEXPECTED_VALUES = draws.one_of(
     draws.just(REMOVED),
     draws.none(),
     draws.booleans(),
@@ -63,30 +65,39 @@
     draws.just(1e300),
     draws.just(10**30),
 )
-#: Of another type or missing, each makes an entry another writer's.
-NEEDED = draws.sampled_from(
+#: Fields without which, or with another type, a registration is invalid.
+REQUIRED_FIELDS = draws.sampled_from(
     ('service', 'address', 'zone', 'version', 'slots', 'state', 'seq', 'born')
 )
 
 
-def spoilt(drawn: tuple[str, Any]) -> dict[str, Any]:
-    field, strange = drawn
-    spec = {**registration(9), field: strange}
-    if strange is REMOVED:
+def invalid_object(drawn: tuple[str, Any]) -> dict[str, Any]:
+    """Return an object whose registration has one invalid field.
+
+    Parameters
+    ----------
+    drawn
+        The name of the field, and its unexpected value.
+    """
+    field, unexpected = drawn
+    spec = {**registration(9), field: unexpected}
+    if unexpected is REMOVED:
         spec.pop(field)
-        # Older upstreams tell no start.
+        # Older upstreams register without their start time.
         spec.setdefault('born', 'never')
-    elif isinstance(strange, int) and strange > 1:
-        spec = {**registration(9), 'born': strange}
-    elif field in {'slots', 'seq', 'born'} and isinstance(strange, bool):
+    elif isinstance(unexpected, int) and unexpected > 1:
+        spec = {**registration(9), 'born': unexpected}
+    elif field in {'slots', 'seq', 'born'} and isinstance(unexpected, bool):
         spec[field] = 'true'
-    elif field in {'service', 'zone', 'version'} and isinstance(strange, str):
-        spec['address'] = strange
-    return listed('bad', spec)
+    elif field in {'service', 'zone', 'version'} and isinstance(
+        unexpected, str
+    ):
+        spec['address'] = unexpected
+    return object_of('bad', spec)
 
 
-BAD_OBJECTS = draws.one_of(
-    draws.tuples(NEEDED, STRANGE).map(spoilt),
+INVALID_OBJECTS = draws.one_of(
+    draws.tuples(REQUIRED_FIELDS, UNEXPECTED_VALUES).map(invalid_object),
     draws.sampled_from(
         (
             None,
@@ -97,117 +108,130 @@
             {'metadata': {'rev': 3}, 'spec': registration(9)},
             {'metadata': {'name': 5}, 'spec': registration(9)},
             {'metadata': {'name': 'bad', 'rev': 'x'}, 'spec': registration(9)},
-            listed('bad', 'AAECAwQ='),
-            listed('bad', None),
+            object_of('bad', 'AAECAwQ='),
+            object_of('bad', None),
         )
     ),
 )
 
 
-class Taken:
-    """A fleet that is fed by a view, and what it holds."""
+class FollowedFleet:
+    """A fleet, and the view that updates it."""
 
     def __init__(self) -> None:
         self.fleet = Fleet()
         self.view = FleetView(self.fleet, virtual_clock(), lambda: None)
 
     def names(self) -> list[str]:
-        return sorted(one.registration for one in self.fleet)
+        """Return the names of the registrations in the fleet."""
+        return sorted(upstream.registration for upstream in self.fleet)
 
 
-def whole(parse: Callable[[bytes], Any], body: bytes) -> Any:
+def parse_readable(parse: Callable[[bytes], Any], body: bytes) -> Any:
+    """Return a parsed body; fail if it is unreadable as a whole."""
     try:
         return parse(body)
     except UnreadableError as error:
-        raise AssertionError(f'nothing was read: {error}') from error
+        raise AssertionError(
+            f'the whole body is unreadable: {error}'
+        ) from error
 
 
 def page_of(objects: list[Any]) -> bytes:
+    """Return the body of a page of a listing."""
     return json.dumps({'items': objects, 'as_of': 9}).encode()
 
 
-@then('300 pages of good entries with a bad one give just the good ones')
-def pages(_: Any) -> None:
+@then('300 pages of registrations with an invalid object give only valid ones')
+def check_pages(_: Any) -> None:
     @SETTINGS
-    @hypothesis.given(draws.integers(0, 4), draws.integers(0, 4), BAD_OBJECTS)
-    def check(before: int, behind: int, bad: Any) -> None:
-        good = [
-            listed(f'e{number}', registration(number))
-            for number in range(before + behind)
+    @hypothesis.given(
+        draws.integers(0, 4), draws.integers(0, 4), INVALID_OBJECTS
+    )
+    def check(before: int, after: int, invalid: Any) -> None:
+        valid = [
+            object_of(f'e{number}', registration(number))
+            for number in range(before + after)
         ]
-        objects = [*good[:before], bad, *good[before:]]
+        objects = [*valid[:before], invalid, *valid[before:]]
 
-        async def take() -> list[str]:
-            taken = Taken()
-            taken.view.reset(whole(parse_page, page_of(objects)).listing)
-            return taken.names()
+        async def read_names() -> list[str]:
+            followed = FollowedFleet()
+            followed.view.reset(
+                parse_readable(parse_page, page_of(objects)).listing
+            )
+            return followed.names()
 
-        assert run_virtual(take()) == [one['metadata']['name'] for one in good]
+        assert run_virtual(read_names()) == [
+            one['metadata']['name'] for one in valid
+        ]
 
     check()
 
 
-@then('300 answers of watches with a bad change give just the good changes')
-def watches(_: Any) -> None:
+@then('300 watch responses with an invalid change give only valid changes')
+def check_watches(_: Any) -> None:
     @SETTINGS
-    @hypothesis.given(draws.integers(0, 3), BAD_OBJECTS, draws.booleans())
-    def check(place: int, bad: Any, known: bool) -> None:
-        good = [
-            listed(f'e{number}', registration(number)) for number in range(3)
+    @hypothesis.given(draws.integers(0, 3), INVALID_OBJECTS, draws.booleans())
+    def check(place: int, invalid: Any, known: bool) -> None:
+        valid = [
+            object_of(f'e{number}', registration(number)) for number in range(3)
         ]
-        events: list[Any] = [{'object': one} for one in good]
-        events.insert(place, {'object': bad})
+        events: list[Any] = [{'object': one} for one in valid]
+        events.insert(place, {'object': invalid})
         body = json.dumps({'events': events, 'as_of': 9}).encode()
 
-        async def take() -> list[str]:
-            taken = Taken()
+        async def read_names() -> list[str]:
+            followed = FollowedFleet()
             if known:
-                first = listed('bad', registration(9))
-                taken.view.reset(parse_page(page_of([first])).listing)
-            taken.view.apply(whole(parse_changes, body).changes)
-            return [name for name in taken.names() if name != 'bad']
+                first = object_of('bad', registration(9))
+                followed.view.reset(parse_page(page_of([first])).listing)
+            followed.view.apply(parse_readable(parse_changes, body).changes)
+            return [name for name in followed.names() if name != 'bad']
 
-        assert run_virtual(take()) == ['e0', 'e1', 'e2']
+        assert run_virtual(read_names()) == ['e0', 'e1', 'e2']
 
     check()
 
 
-@given('an entry whose {field} is {written}')
-def entry_with(context: Any, field: str, written: str) -> None:
+@given('a registration whose {field} is {written}')
+def registration_with(context: Any, field: str, written: str) -> None:
     spec = registration(1)
     if written == 'missing':
         spec.pop(field)
     else:
         spec[field] = json.loads(written)
-    context.entry = StoredObject('e1', Revision(1), json.dumps(spec).encode())
+    context.registration = StoredObject(
+        'e1', Revision(1), json.dumps(spec).encode()
+    )
 
 
-@then('it names no upstream')
-def names_none(context: Any) -> None:
+@then('no upstream can be read from it')
+def is_unreadable(context: Any) -> None:
     try:
-        found = parse_upstream(context.entry)
+        found = parse_upstream(context.registration)
     except UnreadableError:
         return
     raise AssertionError(found)
 
 
-@given("a site whose first service's entry is overwritten for 1 s")
-def overwritten(context: Any) -> None:
+@given("a site whose first service's registration is overwritten for 1 s")
+def overwrite_registration(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(engines=0, entries=1)
         first = site.services['desk-0']
         site.store.put('servers', 'desk-0', {'service': 'desk', 'seq': 'x'})
         await asyncio.sleep(1)
-        context.meanwhile = await served(site)
+        context.meanwhile = await responding_services(site)
         site.store.put('servers', 'desk-0', first.registration())
         await asyncio.sleep(1)
-        context.afterwards = await served(site)
+        context.afterwards = await responding_services(site)
 
     play(scene)
 
 
-async def served(site: Site) -> set[str]:
-    """Return the services that answer ten calls at once."""
+async def responding_services(site: Site) -> set[str]:
+    """Return the services that respond to ten concurrent calls."""
     replies = await asyncio.gather(
         *(
             site.ask('entry-0', 'POST', '/book/x', Request_Id=f'c{number}')
@@ -218,59 +242,65 @@
     return {reply.body.split()[0].decode() for reply in replies if reply}
 
 
-@then('callers are served by the second one, and then by both')
-def then_both(context: Any) -> None:
+@then('the second service alone answers calls, and later both do')
+def second_then_both(context: Any) -> None:
     assert context.meanwhile == {'desk-1'}, context.meanwhile
     assert context.afterwards == {'desk-0', 'desk-1'}, context.afterwards
 
 
-@given('a view that is shown a foreign entry 5 times in 2 revisions')
-def shown(context: Any) -> None:
-    async def show() -> None:
-        taken = Taken()
+@given('a view that gets a foreign object 5 times in 2 revisions')
+def apply_foreign(context: Any) -> None:
+    async def apply() -> None:
+        followed = FollowedFleet()
         for revision in (1, 1, 1, 2, 2):
             foreign = StoredObject('strange', Revision(revision), b'{}')
-            taken.view.reset(Listing((foreign,), Revision(revision)))
-            taken.view.apply((Change(foreign, removed=False),))
+            followed.view.reset(Listing((foreign,), Revision(revision)))
+            followed.view.apply((Change(foreign, removed=False),))
 
     with logged('bergamotdoor.gateway') as lines:
-        run_virtual(show())
+        run_virtual(apply())
         context.lines = [line for line in lines if 'strange' in line]
 
 
 @then('the log has {count:d} lines about it')
-def told(context: Any, count: int) -> None:
+def check_lines(context: Any, count: int) -> None:
     assert len(context.lines) == count, context.lines
 
 
-FOREIGN: tuple[Any, ...] = ('AAECAwQ=', {}, [1, 2], None, {'version': 'x'})
+FOREIGN_SPECS: tuple[Any, ...] = (
+    'AAECAwQ=',
+    {},
+    [1, 2],
+    None,
+    {'version': 'x'},
+)
 
 
-def scatter(site: Site) -> None:
+def put_foreign_objects(site: Site) -> None:
     """Put foreign objects under every kind that is followed."""
     kinds = (
         'config', 'servers', 'versions', 'retirements', 'entries', 'jobs',
         f'job-{JOB}',
     )  # fmt: skip
     for kind in kinds:
-        for number, spec in enumerate(FOREIGN):
+        for number, spec in enumerate(FOREIGN_SPECS):
             site.store.put(kind, f'foreign-{number}', spec)
             site.store.put(kind, f'a-foreign-{number}', spec)
 
 
 @given('a site with foreign objects under every kind')
-def everywhere(context: Any) -> None:
+def foreign_everywhere(context: Any) -> None:
     context.groups = [[3, 3], [4, 4]]
 
     async def scene(site: Site) -> None:
-        scatter(site)
+        put_foreign_objects(site)
         await site.start()
         engine = site.engines['engine-0']
         await site.add_agent('side-0', engine)
         await site.add_agent('store-0', None)
-        context.served = await served(site)
+        context.responding = await responding_services(site)
         await handed_in(site, context.groups)
-        scatter(site)
+        put_foreign_objects(site)
         context.results = [
             await site.all_results(entry, JOB) for entry in sorted(site.entries)
         ]
@@ -285,26 +315,26 @@
     play(scene)
 
 
-@then('calls are answered, and a job is whole at every entry')
-def job_whole(context: Any) -> None:
-    assert context.served
+@then('calls are answered, and every entry has all results of a job')
+def has_all_results(context: Any) -> None:
+    assert context.responding
     first, second = context.results
     assert first == second
     assert {one['id'] for one in first} == set(lengths_of(context.groups))
 
 
-@then('an engine takes a new version')
-def takes_version(context: Any) -> None:
+@then('an engine loads the new version')
+def loads_version(context: Any) -> None:
     assert context.version == 2, context.version
 
 
-@then('a storage machine is emptied when it is asked to be')
-def emptied(context: Any) -> None:
+@then('a storage VM is evacuated on request')
+def is_evacuated(context: Any) -> None:
     assert context.evacuation == {'state': 'completed'}, context.evacuation
 
 
-@given('a site whose job has a broken record of results')
-def broken_record(context: Any) -> None:
+@given('a site whose job has an unreadable record of results')
+def unreadable_record(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
         await handed_in(site, [[2, 2], [3, 3]])
@@ -318,6 +348,6 @@
     play(scene)
 
 
-@then('its results are answered with 503 after a restart')
-def not_guessed(context: Any) -> None:
+@then("requests for its results get status 503 after the owner's crash")
+def results_refused(context: Any) -> None:
     assert context.status == 503, context.status
--- a/features/steps/objects_jobs_steps.py
+++ b/features/steps/objects_jobs_steps.py
@@ -19,8 +19,11 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-_READS: Final[Mapping[str, Outcome]] = MappingProxyType(
-    {'refuses reads': Outcome.NOT_DONE, 'loses reads': Outcome.UNCLEAR}
+_READ_OUTCOMES: Final[Mapping[str, Outcome]] = MappingProxyType(
+    {
+        'refuses reads': Outcome.NOT_DONE,
+        'does not answer reads': Outcome.UNCLEAR,
+    }
 )
 _SPEC: Final = JobSpec(
     JobId(JOB), 'lab.example', '/roll/j1', ModelId('m'), WeightVersion(1), ()
@@ -28,11 +31,11 @@
 _RECORD: Final = JobRecord(NodeId('entry-0'), at(9000), 1, 0)
 
 
-class Objects:
-    """Takes the job's parts, and has its record."""
+class ConflictingStore:
+    """Object store that accepts parts, and already has the job's record."""
 
-    def __init__(self, reads: Outcome) -> None:
-        self._reads = reads
+    def __init__(self, read_outcome: Outcome) -> None:
+        self._read_outcome = read_outcome
 
     async def create(
         self, kind: str, name: str, spec: bytes
@@ -42,19 +45,21 @@
         return StoredObject(name, Revision(1), spec)
 
     async def get(self, *_: str) -> Outcome:
-        return self._reads
+        return self._read_outcome
 
 
-@given('a store that has a job, shows none in conflicts and {reads}')
-def has_job(context: Any, reads: str) -> None:
-    context.store = JobStore(cast('Any', Objects(_READS[reads])))
+@given('a store with the job that omits it from conflicts and {reads}')
+def store_with_job(context: Any, reads: str) -> None:
+    context.store = JobStore(
+        cast('Any', ConflictingStore(_READ_OUTCOMES[reads]))
+    )
 
 
-@when('the job is handed in')
-def handed(context: Any) -> None:
-    context.found = asyncio.run(context.store.submit(_SPEC, _RECORD))
+@when('the job is submitted to this store')
+def submit_job(context: Any) -> None:
+    context.outcome = asyncio.run(context.store.submit(_SPEC, _RECORD))
 
 
-@then('it is not known whether it is kept')
-def not_known(context: Any) -> None:
-    assert context.found is Outcome.UNCLEAR, context.found
+@then('the outcome of the submission is unclear')
+def is_unclear(context: Any) -> None:
+    assert context.outcome is Outcome.UNCLEAR, context.outcome
--- a/features/steps/objects_watcher_steps.py
+++ b/features/steps/objects_watcher_steps.py
@@ -12,20 +12,20 @@
 
 
 async def change_and_cut(site: Site) -> None:
-    """Change the manifest, tell no watch of it, and cut all watches."""
+    """Change the manifest without reporting it, and cut all watches."""
     site.store.deaf = True
     site.put_manifest()
     await asyncio.sleep(1)
     site.store.cut_watches()
-    # A watch that begins now is told of later changes only.
+    # A watch that begins now gets later changes only.
     await asyncio.sleep(0.05)
     site.store.drop_history()
     site.store.table.forgotten = 0
     site.store.deaf = False
 
 
-@given('a site whose store becomes deaf, changes and cuts its watches')
-def deaf(context: Any) -> None:
+@given('a site whose store hides a change from its watches and cuts them')
+def hide_change(context: Any) -> None:
     async def scene(site: Site) -> list[int]:
         await site.start()
         await change_and_cut(site)
@@ -36,7 +36,7 @@
 
 
 @given('a site whose store drops its history after a change')
-def history_gone(context: Any) -> None:
+def drop_history(context: Any) -> None:
     async def scene(site: Site) -> list[int]:
         await site.start()
         site.store.deaf = True
@@ -50,6 +50,7 @@
 
 
 def generations(site: Site) -> list[int]:
+    """Return the manifest's generation at each entry, and the newest one."""
     return [
         entry._manifests.manifest.generation  # type: ignore[union-attr]
         for entry in site.entries.values()
@@ -57,12 +58,12 @@
 
 
 @then('every entry has the newest manifest 2 s later')
-def newest(context: Any) -> None:
+def all_newest(context: Any) -> None:
     assert len(set(context.generations)) == 1, context.generations
 
 
-@given('a site whose registrations lapse while the store is away')
-def lapse(context: Any) -> None:
+@given('a site whose registrations expire during a store outage')
+def expire_registrations(context: Any) -> None:
     async def scene(site: Site) -> tuple[int, int]:
         await site.start()
         await site.ask('entry-0', 'GET', '/book/1', Request_Id='b1')
@@ -84,17 +85,17 @@
 
 
 @then("calls are answered right after the store's return")
-def answered(context: Any) -> None:
+def early_call_answered(context: Any) -> None:
     assert context.statuses[0] == 200, context.statuses
 
 
 @then('upstreams that are still missing 4 s later get no calls')
-def gone(context: Any) -> None:
+def late_call_refused(context: Any) -> None:
     assert context.statuses[1] == 503, context.statuses
 
 
-@given("a site where an entry's watch waits at another entry when it is cut")
-def relayed_watch(context: Any) -> None:
+@given('a site where another entry relays a watch that is cut')
+def cut_relayed_watch(context: Any) -> None:
     async def scene(site: Site) -> list[int]:
         await site.start(entries=3)
         access = site.entries['entry-0']._access
@@ -103,7 +104,7 @@
         site.store.cut_watches()
         await asyncio.sleep(1.5)
         access.direct.address = direct
-        # Its watch waits at another entry now.
+        # Another entry relays the watch now.
         await change_and_cut(site)
         await asyncio.sleep(2)
         return generations(site)
@@ -111,8 +112,8 @@
     context.generations = play(scene)
 
 
-@given('a site whose store ends watches without telling of a change')
-def ends_quietly(context: Any) -> None:
+@given('a site whose store ends watches without reporting a change')
+def end_watches(context: Any) -> None:
     async def scene(site: Site) -> list[int]:
         await site.start()
         site.store.deaf = True
@@ -128,7 +129,7 @@
 
 
 @given('a site whose store drops its history and leaves watches waiting')
-def left_waiting(context: Any) -> None:
+def leave_watches_waiting(context: Any) -> None:
     async def scene(site: Site) -> list[int]:
         await site.start()
         site.store.deaf = True
@@ -142,8 +143,8 @@
 
 
 @then('every entry has the newest manifest 3 s later')
-def newest_later(context: Any) -> None:
-    newest(context)
+def all_newest_later(context: Any) -> None:
+    all_newest(context)
 
 
 @given('a site that is idle for {seconds:d} s')
@@ -159,19 +160,19 @@
 
 
 @then('each entry made at most {most:d} watches of each kind')
-def few_watches(context: Any, most: int) -> None:
+def check_watch_counts(context: Any, most: int) -> None:
     for kind in ('config', 'servers'):
         made = [one for one in context.calls if f'/{kind}?watch' in one]
         assert 0 < len(made) <= most * 2, made
 
 
 @given('a site whose store is silent for 6.5 s and never answers its watches')
-def swallowed(context: Any) -> None:
+def ignore_watches(context: Any) -> None:
     async def scene(site: Site) -> list[int]:
         await site.start()
         site.store.mode = StoreMode.SILENT
-        # A watch lasts 2.5 s: each has ended, and the next one is swallowed,
-        # also if it is sent again.
+        # A watch lasts 2.5 s: each has ended, and the store never answers the
+        # next one, nor its second attempt.
         await asyncio.sleep(6.5)
         site.store.mode = StoreMode.UP
         site.put_manifest()
@@ -181,14 +182,14 @@
     context.generations = play(scene)
 
 
-@given('a site whose store swallows the listings after its watches were cut')
-def swallowed_listing(context: Any) -> None:
+@given('a site whose store never answers listings after it cut its watches')
+def ignore_listings(context: Any) -> None:
     async def scene(site: Site) -> list[int]:
         await site.start(entries=3)
         site.store.mode = StoreMode.SILENT
         site.store.cut_watches()
-        # The listings were sent again after 3.1 s, those through others after
-        # 3.45 s: all of them have been swallowed twice.
+        # The second attempts were sent after 3.1 s, those through other
+        # entries after 3.45 s: both attempts of each listing remain unanswered.
         await asyncio.sleep(3.5)
         site.store.mode = StoreMode.UP
         site.put_manifest()
