--- a/bergamotdoor/objects/news.py
+++ b/bergamotdoor/objects/news.py
@@ -1,4 +1,4 @@
-"""Sources of the changes of an object kind."""
+"""Feeds of the changes of object kinds."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class News(Protocol):
-    """Source of the changes of object kinds."""
+    """Feed of the changes of object kinds."""
 
     async def changes(self, watch: Watch, since: Revision) -> Changes | Outcome:
         """Wait for changes of a kind after a revision.
@@ -68,7 +68,7 @@
 
 
 class StoreNews:
-    """Source of changes that watches the store itself.
+    """Feed of changes that watches the store itself.
 
     Parameters
     ----------
--- a/bergamotdoor/objects/watcher.py
+++ b/bergamotdoor/objects/watcher.py
@@ -54,7 +54,7 @@
     store
         Client of the object store, for listings.
     news
-        Source of the changes.
+        Feed of the changes.
     watch
         The kind, and the timing of the watches.
     view
