--- a/bergamotdoor/forwarding/answers.py
+++ b/bergamotdoor/forwarding/answers.py
@@ -53,8 +53,8 @@
     upstream_id = upstream.upstream
     fields = response.headers
     if fields.first(names.REQUEST_ID, call.request_id) != call.request_id:
-        # This is the response to another request. Closing its body closes
-        # the connection too.
+        # This is the response to another request. Closing its unread body
+        # closes the connection too.
         await close_body(response.body)
         return Attempt(
             Verdict.MAY_HAVE_RUN, 'answer of another call', upstream_id
--- a/bergamotdoor/forwarding/call.py
+++ b/bergamotdoor/forwarding/call.py
@@ -65,12 +65,12 @@
     @property
     def served(self) -> bool:
         """Whether the response is complete; a relayed one has only begun."""
-        answer = self.answer
-        is_buffered = answer is not None and isinstance(answer.body, bytes)
+        response = self.answer
+        is_buffered = response is not None and isinstance(response.body, bytes)
         return is_buffered and self.verdict is Verdict.RAN
 
     @property
     def broke(self) -> bool:
-        """Whether the call may have run, but there is no response."""
+        """Whether the call may have run, without a complete response."""
         may_have_run = self.verdict is Verdict.MAY_HAVE_RUN
         return may_have_run and self.answer is None
--- a/bergamotdoor/objects/news.py
+++ b/bergamotdoor/objects/news.py
@@ -16,8 +16,8 @@
 
 #: Wait of a watch for a view whose age no rule bounds. A watch counts as one
 #: call however long it waits; the store accepts waits of up to 30 s.
-_LONG_WAIT_S: Final = 10
-LONG_WAIT: Final = dt.timedelta(seconds=_LONG_WAIT_S)
+_DEFAULT_WAIT_S: Final = 10
+LONG_WAIT: Final = dt.timedelta(seconds=_DEFAULT_WAIT_S)
 #: Share of its wait after which a watch without a change has ended in order. A
 #: shorter one was cut off.
 _COMPLETE_WAIT_SHARE: Final = 0.9
