--- a/lab/model/__init__.py
+++ b/lab/model/__init__.py
@@ -1,6 +1,7 @@
-"""Explores histories of entries that run batch jobs, in virtual time.
+"""Model checker that plays histories of entries that run batch jobs.
 
-Everything that decides is the product's own: what an entry has for jobs, its
-client of the store, its ways round. Around it stand models: a network whose
-calls are lost, late, repeated and reordered, a store, engines, and a trainer.
+The histories run in virtual time. The entries run the production code for
+jobs, for the store client, and for the alternative routes to the store.
+Everything around them is a model: a network that loses, delays, repeats and
+reorders calls, a store, engines, and a trainer.
 """
--- a/lab/model/entry.py
+++ b/lab/model/entry.py
@@ -1,4 +1,4 @@
-"""An entry without sockets: all that it has for batch jobs, and its tasks."""
+"""Entry process without sockets: its job parts and background tasks."""
 
 from __future__ import annotations
 
@@ -21,26 +21,27 @@
     from bergamotdoor.settings.document import Address
     from bergamotdoor.settings.node import NodeSettings
 
-#: From a request to stop until the process ends.
-_STOP_S: Final = 2.5
-_RESUME_S: Final = 0.3
+#: Time from the request to stop until the process ends.
+_STOP_DURATION_S: Final = 2.5
+#: Time between two tries to resume the jobs of the previous process.
+_RESUME_INTERVAL_S: Final = 0.3
 
 
 class ModelEntry:
-    """One start of an entry.
+    """One process of an entry; each restart creates a new one.
 
     Parameters
     ----------
     settings
-        Which entry it is.
+        Settings of the entry, such as its name and address.
     network
-        Where it is reached, and reaches others.
+        Network that carries the calls to and from the entry.
     clock
-        The time.
+        Clock of the virtual time.
     manifests
-        The manifest in force.
+        View of the manifest in force.
     seed
-        Of its random numbers.
+        Seed of the random numbers of the store client.
     """
 
     def __init__(
@@ -65,62 +66,70 @@
             self._context, self._access, manifests, self._tasks
         )
         self.stopping = False
-        #: How often it was paused or killed.
+        #: Number of times that the process was paused or killed.
         self.pauses = 0
 
     @property
     def address(self) -> Address:
-        """Where other entries reach it."""
+        """Address at which other entries reach this one."""
         return self._context.own_address
 
     def start(self, upstreams: list[Upstream]) -> None:
-        """Serve, and go on with the jobs of the process before."""
+        """Serve peers, and resume the jobs of the entry's last process.
+
+        Parameters
+        ----------
+        upstreams
+            Upstreams that the entry knows from the start.
+        """
         for upstream in upstreams:
             self._context.fleet.put(upstream)
-        self._network.serve(self.address, self.name, self._answer)
-        self.process.start(self._start())
+        self._network.serve(self.address, self.name, self._answer_peer)
+        self.process.start(self._start_tasks())
 
     def ask(self, request: HttpRequest) -> asyncio.Task[HttpResponse]:
-        """Begin to answer a caller."""
+        """Start to process a request of a caller; return the task."""
         return self.process.start(self.parts.front.handle(request))
 
     def begin_stop(self) -> None:
-        """Stop as planned."""
+        """Start a planned stop, which hands off the entry's jobs."""
         self.stopping = True
-        self.process.start(self._stop())
+        self.process.start(self._hand_off_and_stop())
 
     def pause(self) -> None:
-        """Run nothing for a while."""
+        """Pause the process until it is resumed."""
         self.pauses += 1
         self.process.pause()
 
     def kill(self) -> None:
-        """End at once."""
+        """End the process at once; connections to it are refused."""
         self.pauses += 1
         if not self.process.gone:
             self._network.drop(self.address)
         self.process.kill()
 
-    async def _answer(self, origin: str, request: HttpRequest) -> HttpResponse:
+    async def _answer_peer(
+        self, origin: str, request: HttpRequest
+    ) -> HttpResponse:
         handle = self.parts.peer_service.handle
         return await self.process.start(serve_peer(request, handle))
 
-    async def _start(self) -> None:
+    async def _start_tasks(self) -> None:
         self.parts.owner.start()
         directory = self._access.directory
         self._tasks.start(directory.register(self._context.own_entry))
         self._tasks.start(directory.run())
-        self._tasks.start(self._resume())
+        self._tasks.start(self._resume_jobs())
 
-    async def _resume(self) -> None:
+    async def _resume_jobs(self) -> None:
         while not await self.parts.resume():
-            await asyncio.sleep(_RESUME_S)
+            await asyncio.sleep(_RESUME_INTERVAL_S)
 
-    async def _stop(self) -> None:
-        began = asyncio.get_running_loop().time()
+    async def _hand_off_and_stop(self) -> None:
+        began_s = asyncio.get_running_loop().time()
         await self.parts.hand_over.run()
-        spent_s = asyncio.get_running_loop().time() - began
-        await asyncio.sleep(max(_STOP_S - spent_s, 0))
+        spent_s = asyncio.get_running_loop().time() - began_s
+        await asyncio.sleep(max(_STOP_DURATION_S - spent_s, 0))
         await self.parts.owner.stop()
         await self._tasks.stop()
         self.kill()
--- a/lab/model/faults.py
+++ b/lab/model/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong on the ways between processes."""
+"""Faults of the calls between the processes of a history."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
     from bergamotdoor.http.messages import ClientRequest
 
 STORE: Final = 'store'
-_PREFIX: Final = '/-/objects/'
-#: Calls about a job's record, by method and how much of a path follows.
-_OF_JOB: Final = MappingProxyType(
+_OBJECTS_PREFIX: Final = '/-/objects/'
+#: Kinds of the calls that write a job's record, by HTTP method and number of
+#: path segments after the kind of the object.
+_JOB_CALL_KINDS: Final = MappingProxyType(
     {
         ('POST', 0): CallKind.JOB,
         ('PUT', 1): CallKind.CLAIM,
@@ -26,68 +27,89 @@
 
 
 class Faults:
-    """Decides what becomes of calls, and remembers who was disturbed."""
+    """Faults in force, and the time at which each process was last disturbed.
+
+    Parameters
+    ----------
+    upstreams
+        Names of the upstreams; calls to them never fail here.
+    """
 
     def __init__(self, upstreams: frozenset[str]) -> None:
         self._upstreams = upstreams
-        self._cut: set[tuple[str, str]] = set()
-        self._armed: list[tuple[CallKind, Fate]] = []
-        #: When a process was last disturbed.
-        self._disturbed_s: defaultdict[str, float] = defaultdict(float)
+        #: Pairs of a calling and a called process whose calls are lost.
+        self._cut_links: set[tuple[str, str]] = set()
+        #: Faults of the next calls, in the order in which they are used up.
+        self._armed_faults: list[tuple[CallKind, Fate]] = []
+        #: Loop time at which each process was last disturbed.
+        self._last_disturbed_s: defaultdict[str, float] = defaultdict(float)
 
     def cut(self, origin: str, goal: str) -> None:
-        """Lose all calls on a way."""
-        self._cut.add((origin, goal))
+        """Lose all calls from one process to another."""
+        self._cut_links.add((origin, goal))
 
     def arm(self, call: CallKind, fate: Fate, count: int) -> None:
-        """Give the next calls of a kind a fate."""
-        self._armed.extend((call, fate) for _ in range(count))
+        """Set the fate of the next `count` calls of a kind."""
+        self._armed_faults.extend((call, fate) for _ in range(count))
 
     def heal(self) -> None:
-        """Do all calls from now on."""
-        self._cut.clear()
-        self._armed.clear()
+        """Remove all cut links and all faults of the next calls."""
+        self._cut_links.clear()
+        self._armed_faults.clear()
 
     def disturb(self, process: str) -> None:
-        """Note that something is wrong with a process now."""
-        self._disturbed_s[process] = asyncio.get_running_loop().time()
+        """Record that a fault affects a process now.
+
+        Such a fault is a failed call, a pause or a start of the process.
+        """
+        self._last_disturbed_s[process] = asyncio.get_running_loop().time()
 
     def calm_since(self, process: str) -> float:
-        """Return when a process was last disturbed."""
-        return self._disturbed_s[process]
+        """Return the loop time at which a process was last disturbed."""
+        return self._last_disturbed_s[process]
 
     def fate(self, origin: str, goal: str, request: ClientRequest) -> Fate:
-        """Return what becomes of a call."""
+        """Return the fate of a call; use up the fault that is armed for it.
+
+        Parameters
+        ----------
+        origin
+            Name of the calling process.
+        goal
+            Name of the called process.
+        request
+            The call.
+        """
         if goal in self._upstreams:
             return Fate.DONE
         fate = Fate.LOST
-        if (origin, goal) not in self._cut:
-            fate = self._next(_kind(goal, request))
+        if (origin, goal) not in self._cut_links:
+            fate = self._pop_fate(_classify_call(goal, request))
         if fate is not Fate.DONE:
             self.disturb(origin)
             self.disturb(goal)
         return fate
 
-    def _next(self, kind: CallKind) -> Fate:
-        for number, (call, fate) in enumerate(self._armed):
+    def _pop_fate(self, kind: CallKind) -> Fate:
+        for number, (call, fate) in enumerate(self._armed_faults):
             if call is kind:
-                self._armed.pop(number)
+                self._armed_faults.pop(number)
                 return fate
         return Fate.DONE
 
 
-def _kind(goal: str, request: ClientRequest) -> CallKind:
-    if goal != STORE:
+def _classify_call(destination: str, request: ClientRequest) -> CallKind:
+    if destination != STORE:
         return CallKind.PEER
-    kind, *rest = request.target.removeprefix(_PREFIX).split('/')
+    kind, *rest = request.target.removeprefix(_OBJECTS_PREFIX).split('/')
     if request.method == 'GET' or kind == 'entries':
         return CallKind.LOOK
     if kind == 'jobs':
-        return _OF_JOB[request.method, len(rest)]
-    return _of_part(request)
+        return _JOB_CALL_KINDS[request.method, len(rest)]
+    return _classify_part_call(request)
 
 
-def _of_part(request: ClientRequest) -> CallKind:
+def _classify_part_call(request: ClientRequest) -> CallKind:
     if request.method == 'PUT':
         return CallKind.KEEP
     body = request.body if isinstance(request.body, bytes) else b''
--- a/lab/model/history.py
+++ b/lab/model/history.py
@@ -1,4 +1,4 @@
-"""Plays one history step by step, and its end when all is well."""
+"""Plays the steps of one history, then checks it without any faults."""
 
 from __future__ import annotations
 
@@ -16,39 +16,46 @@
     from lab.model.plans import Plan, Step
     from lab.model.witness import Broken
 
-#: How long all entries may take to list everything once all is well.
-_FINISH_S: Final = 40
-_READ_S: Final = 0.5
-#: As long as the longest fault of a call.
-_QUIET_S: Final = 2.5
+#: Time in which every entry has to list all items after the faults are over.
+_LIST_ALL_TIMEOUT_S: Final = 40
+#: Time between two tries to submit the job, or to read the next results.
+_RETRY_INTERVAL_S: Final = 0.5
+#: Wait after the faults are over, so that calls which a fault has delayed are
+#: done; as long as the longest fault of a call.
+_DELAYED_CALLS_S: Final = 2.5
 
 
 class Played(NamedTuple):
-    """What a history has shown."""
+    """Result of one history."""
 
     plan: Plan
+    #: Lines that report what happened, with the virtual time.
     story: list[str]
     broken: list[Broken]
+    #: Number of checks.
     checked: int
-    #: How long it took in virtual time.
+    #: Duration of the history in virtual time.
     took_s: float
 
 
 def play(plan: Plan) -> Played:
-    """Play a history."""
+    """Run the history of a plan in virtual time, and return its result.
+
+    Log lines of the entries are switched off.
+    """
     logging.getLogger('bergamotdoor').setLevel(logging.CRITICAL)
-    return run_pausing(_play(plan))
+    return run_pausing(_play_plan(plan))
 
 
-async def _play(plan: Plan) -> Played:
+async def _play_plan(plan: Plan) -> Played:
     world = World(plan)
     failures: list[Any] = []
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, what: failures.append(what))
+    loop.set_exception_handler(lambda _, context: failures.append(context))
     await world.start()
-    _hand_in(world)
+    _submit_job(world)
     try:
-        await _go_through(world)
+        await _play_steps(world)
     finally:
         await world.stop()
     witness = world.witness
@@ -61,42 +68,46 @@
     )
 
 
-async def _go_through(world: World) -> None:
+async def _play_steps(world: World) -> None:
     for step in world.plan.steps:
-        _take(world, step)
+        _apply_step(world, step)
         await asyncio.sleep(step.gap_s)
-        _look(world)
+        _observe_entries(world)
         if world.witness.broken:
             return
-    await _finish(world)
+    await _recover_and_read_all(world)
 
 
-def _hand_in(world: World) -> None:
+def _submit_job(world: World) -> None:
     entry = world.entries[world.order()[0]]
     world.tell(f'a trainer hands its job in at {entry.name}')
     world.trainer.begin(world.trainer.hand_in(entry, world.witness))
 
 
-def _take(world: World, step: Step) -> None:
+def _apply_step(world: World, step: Step) -> None:
     names = world.order()
     entry = world.entries[names[step.where]]
-    goal = STORE if step.to < 0 else names[step.to]
-    told = ACTIONS[step.verb](world, entry, goal, step)
-    if told:
-        world.tell(told)
+    destination = STORE if step.to < 0 else names[step.to]
+    line = ACTIONS[step.verb](world, entry, destination, step)
+    if line:
+        world.tell(line)
+
 
+def _observe_entries(world: World) -> None:
+    """Check the store, and record which entries are paused.
 
-def _look(world: World) -> None:
-    """Note who is paused; in watched histories ask every entry for all."""
+    In watched histories, also read from every entry that runs.
+    """
     world.witness.see_store()
     for entry in world.entries.values():
         if entry.process.paused:
             world.faults.disturb(entry.name)
         elif world.plan.watched:
-            _ask(world, entry)
+            _begin_reads(world, entry)
 
 
-def _ask(world: World, entry: ModelEntry) -> None:
+def _begin_reads(world: World, entry: ModelEntry) -> None:
+    """Request all unread bodies, the next results, and the last one again."""
     trainer, witness = world.trainer, world.witness
     for item in witness.unread:
         trainer.begin(trainer.body(entry, witness, item))
@@ -104,8 +115,8 @@
     trainer.begin(trainer.read(entry, witness, 1))
 
 
-async def _finish(world: World) -> None:
-    """Let all be well, and have every entry list everything."""
+async def _recover_and_read_all(world: World) -> None:
+    """End all faults, then check that every entry lists all results."""
     world.tell('all is well again: calls get through, who is paused goes on')
     world.faults.heal()
     for name, entry in world.entries.items():
@@ -114,35 +125,35 @@
             world.start_entry(name)
         else:
             entry.process.go_on()
-    await asyncio.sleep(_QUIET_S)
-    until_s = asyncio.get_running_loop().time() + _FINISH_S
-    await _have_accepted(world, until_s)
+    await asyncio.sleep(_DELAYED_CALLS_S)
+    until_s = asyncio.get_running_loop().time() + _LIST_ALL_TIMEOUT_S
+    await _submit_until_accepted(world, until_s)
     for entry in world.entries.values():
-        found = await _read_all(world, entry, until_s)
-        world.witness.see_all(entry.name, found)
+        results = await _read_all_results(world, entry, until_s)
+        world.witness.see_all(entry.name, results)
 
 
-async def _have_accepted(world: World, until_s: float) -> None:
+async def _submit_until_accepted(world: World, until_s: float) -> None:
     loop = asyncio.get_running_loop()
     while not world.witness.accepted and loop.time() < until_s:
-        _hand_in(world)
-        await asyncio.sleep(_READ_S)
+        _submit_job(world)
+        await asyncio.sleep(_RETRY_INTERVAL_S)
 
 
-async def _read_all(
+async def _read_all_results(
     world: World, entry: ModelEntry, until_s: float
 ) -> list[dict[str, Any]]:
-    """Read from the first position until there is no more."""
+    """Read all pages of results at an entry, until a time at the latest."""
     loop = asyncio.get_running_loop()
     witness = world.witness
-    found: list[dict[str, Any]] = []
-    while len(found) < len(witness.lengths) and loop.time() < until_s:
-        page = await world.trainer.page(entry, len(found))
+    results: list[dict[str, Any]] = []
+    while len(results) < len(witness.lengths) and loop.time() < until_s:
+        page = await world.trainer.page(entry, len(results))
         if isinstance(page, dict):
-            witness.see_page(len(found), page, loop.time())
-            found.extend(page['results'])
+            witness.see_page(len(results), page, loop.time())
+            results.extend(page['results'])
         if witness.broken or (witness.ended and isinstance(page, dict)):
             break
-        _ask(world, entry)
-        await asyncio.sleep(_READ_S)
-    return found
+        _begin_reads(world, entry)
+        await asyncio.sleep(_RETRY_INTERVAL_S)
+    return results
--- a/lab/model/network.py
+++ b/lab/model/network.py
@@ -1,4 +1,4 @@
-"""A network in memory: calls are lost, late, repeated, refused and slow."""
+"""In-memory network that can lose, delay, repeat, refuse and slow calls."""
 
 from __future__ import annotations
 
@@ -24,88 +24,121 @@
 
     from bergamotdoor.settings.document import Address
 
-    #: Serves one request of a process.
+    #: Returns the response to a request; the text names the calling process.
     Server = Callable[[str, HttpRequest], Awaitable[HttpResponse]]
 
-#: How long a call takes one way.
-_WAY_S: Final = 0.001
-#: When a call that is late or repeated is done.
-_LATE_S: Final = 2
-#: How long a slow call waits before it is done.
-_SLOW_S: Final = 0.45
+#: Time that a request or a response is on its way.
+_ONE_WAY_DELAY_S: Final = 0.001
+#: Delay of a call that is done late or done again.
+_LATE_DELAY_S: Final = 2
+#: Time that a slow call waits before it is done.
+_SLOW_DELAY_S: Final = 0.45
 
 
 class Fate(enum.Enum):
-    """What becomes of a call."""
+    """Fate of a call: done without a fault, or with one of the faults."""
 
     DONE = 'done'
-    #: It gets nowhere.
+    #: The server does not receive the request.
     LOST = 'lost before it was done'
-    #: It is done and its answer is lost.
+    #: The call is done, but its response is lost.
     UNANSWERED = 'done, and its answer lost'
-    #: It gets no answer and is done seconds later.
+    #: The caller gets no response, and the call is done seconds later.
     LATE = 'done two seconds later, unanswered'
-    #: It is done, and done again seconds later.
+    #: The call is done and answered, and done again seconds later.
     TWICE = 'done, and again two seconds later'
-    #: It is done after a while, and answered.
+    #: The call is done and answered after a delay.
     SLOW = 'done after a while'
-    #: It is answered with 503 and not done.
+    #: The call is answered with 503 and not done.
     REFUSED = 'refused'
 
 
 class Judge(Protocol):
-    """Decides what becomes of calls."""
+    """Policy that decides the fate of each call."""
 
     def fate(self, origin: str, goal: str, request: ClientRequest) -> Fate:
-        """Return what becomes of a call of a process."""
+        """Return the fate of a call.
+
+        Parameters
+        ----------
+        origin
+            Name of the calling process.
+        goal
+            Name of the called process.
+        request
+            The call.
+        """
 
 
 class Network:
-    """Carries requests between processes by their addresses."""
+    """Delivers requests to the processes that serve at their addresses.
+
+    Parameters
+    ----------
+    judge
+        Policy that decides the fate of each call.
+    """
 
     def __init__(self, judge: Judge) -> None:
-        self._judge = judge
+        self._policy = judge
+        #: Name and server of the process at each address.
         self._servers: dict[Address, tuple[str, Server]] = {}
 
     def serve(self, address: Address, name: str, server: Server) -> None:
-        """Have a server answer at an address."""
+        """Serve at an address, under the name of a process."""
         self._servers[address] = (name, server)
 
     def drop(self, address: Address) -> None:
-        """Refuse connections at an address."""
+        """Stop to serve at an address; connections to it are refused."""
         self._servers.pop(address, None)
 
     def serves(self, address: Address) -> bool:
-        """Return whether a server answers at an address."""
+        """Return whether a process serves at an address."""
         return address in self._servers
 
     async def send(
         self, origin: str, request: ClientRequest
     ) -> ClientResponse | ClientFailure:
-        """Carry one request, and wait for the answer's head."""
+        """Deliver a request, and wait for the head of the response.
+
+        Parameters
+        ----------
+        origin
+            Name of the calling process.
+        request
+            The request, with its address and timeout.
+        """
         known = self._servers.get(request.address)
         if known is None:
-            await asyncio.sleep(_WAY_S)
+            await asyncio.sleep(_ONE_WAY_DELAY_S)
             return ClientFailure(sent=False, detail='refused')
-        goal, server = known
-        fate = self._judge.fate(origin, goal, request)
-        answer = start_outside(_carry(fate, origin, request, server))
+        destination, server = known
+        fate = self._policy.fate(origin, destination, request)
+        delivery = start_outside(_deliver(fate, origin, request, server))
         try:
             async with asyncio.timeout(request.timeout.total_seconds()):
-                found = await asyncio.shield(answer)
+                response = await asyncio.shield(delivery)
         except TimeoutError:
             return ClientFailure(sent=True, detail='no answer in time')
-        if found is None:
+        if response is None:
             return ClientFailure(sent=True, detail='connection lost')
         return ClientResponse(
-            status=found.status,
-            headers=found.headers,
-            body=_pieces(found, request.timeout),
+            status=response.status,
+            headers=response.headers,
+            body=_body_chunks(response, request.timeout),
         )
 
 
 class NetworkClient:
-    """The network as one process sees it."""
+    """Client with which one process sends its requests.
+
+    Parameters
+    ----------
+    network
+        Network that delivers the requests.
+    origin
+        Name of the process.
+    """
 
     def __init__(self, network: Network, origin: str) -> None:
         self._network = network
@@ -114,42 +147,44 @@
     async def send(
         self, request: ClientRequest
     ) -> ClientResponse | ClientFailure:
-        """Send a request."""
+        """Send a request, and wait for the head of the response."""
         return await self._network.send(self._origin, request)
 
     async def refuses(self, address: Address) -> bool:
-        """Return whether nobody serves at an address."""
+        """Return whether connections to an address are refused."""
         return not self._network.serves(address)
 
     async def close(self) -> None:
-        """Keep nothing open."""
+        """Do nothing; the client holds no connections."""
 
 
-async def _carry(
+async def _deliver(
     fate: Fate, origin: str, request: ClientRequest, server: Server
 ) -> HttpResponse | None:
-    await asyncio.sleep(_WAY_S)
+    await asyncio.sleep(_ONE_WAY_DELAY_S)
     if fate is Fate.LOST:
         return None
     if fate is Fate.REFUSED:
         return HttpResponse(status=int(HTTPStatus.SERVICE_UNAVAILABLE))
     if fate is Fate.SLOW:
-        await asyncio.sleep(_SLOW_S)
+        await asyncio.sleep(_SLOW_DELAY_S)
     if fate in {Fate.LATE, Fate.TWICE}:
-        start_outside(_again(origin, request, server))
+        start_outside(_deliver_late(origin, request, server))
     if fate is Fate.LATE:
         return None
-    answer = await server(origin, _received(request))
-    await asyncio.sleep(_WAY_S)
-    return None if fate is Fate.UNANSWERED else answer
+    response = await server(origin, _server_request(request))
+    await asyncio.sleep(_ONE_WAY_DELAY_S)
+    return None if fate is Fate.UNANSWERED else response
 
 
-async def _again(origin: str, request: ClientRequest, server: Server) -> None:
-    await asyncio.sleep(_LATE_S)
-    await server(origin, _received(request))
+async def _deliver_late(
+    origin: str, request: ClientRequest, server: Server
+) -> None:
+    await asyncio.sleep(_LATE_DELAY_S)
+    await server(origin, _server_request(request))
 
 
-def _received(request: ClientRequest) -> HttpRequest:
+def _server_request(request: ClientRequest) -> HttpRequest:
     assert isinstance(request.body, bytes)
     return received(
         request.method, request.target, request.headers, request.body
@@ -159,31 +194,31 @@
 def received(
     method: str, target: str, headers: Headers, body: bytes = b''
 ) -> HttpRequest:
-    """Return a request as a server gets it."""
+    """Return a request in the form in which a server receives it."""
     return HttpRequest(
-        method=method, target=target, headers=headers, body=_one(body)
+        method=method, target=target, headers=headers, body=_single_chunk(body)
     )
 
 
-async def _one(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
 
 
-async def _pieces(
-    answer: HttpResponse, timeout: dt.timedelta
+async def _body_chunks(
+    response: HttpResponse, timeout: dt.timedelta
 ) -> AsyncIterator[bytes]:
-    if isinstance(answer.body, bytes):
-        yield answer.body
+    if isinstance(response.body, bytes):
+        yield response.body
         return
-    pieces = answer.body
+    chunks = response.body
     try:
         while True:
             async with asyncio.timeout(timeout.total_seconds()):
-                piece = await anext(pieces)
-            yield piece
+                chunk = await anext(chunks)
+            yield chunk
     except StopAsyncIteration:
         return
     except TimeoutError:
-        raise BodyBrokenError('silent') from None
+        raise BodyBrokenError('no data within the timeout') from None
     finally:
-        await pieces.aclose()  # type: ignore[attr-defined]
+        await chunks.aclose()  # type: ignore[attr-defined]
--- a/lab/model/pausing.py
+++ b/lab/model/pausing.py
@@ -1,4 +1,4 @@
-"""Processes in one event loop that can be paused, and killed, by themselves."""
+"""Event loop that runs several processes, each of which can be paused."""
 
 from __future__ import annotations
 
@@ -12,51 +12,56 @@
     from collections.abc import Callable, Coroutine, Iterable
 
 Result = TypeVar('Result')
-_Loop: Final = async_solipsism.EventLoop
+_BaseLoop: Final = async_solipsism.EventLoop
 
 
 class Process:
-    """What of a loop's callbacks belongs to one process.
+    """Process within an event loop: the callbacks that belong to it.
 
-    A paused process runs none of them: what comes due meanwhile is held, and
-    runs in its order once the process goes on, as after SIGSTOP and SIGCONT.
+    While a process is paused, its callbacks that become due are held. They run
+    in their order once the process is resumed, as after SIGSTOP and SIGCONT.
     """
 
     def __init__(self) -> None:
         self.paused = False
+        #: Whether it was killed.
         self.gone = False
-        self._held: list[_Gate] = []
+        self._held_callbacks: list[_PausableCallback] = []
         self._context = contextvars.copy_context()
-        self._context.run(_process.set, self)
+        self._context.run(_current_process.set, self)
 
     def pause(self) -> None:
-        """Run nothing until it goes on."""
+        """Hold all callbacks until the process is resumed."""
         self.paused = True
 
     def kill(self) -> None:
-        """Run nothing any more."""
+        """Hold all callbacks for good."""
         self.paused = True
         self.gone = True
 
     def go_on(self) -> None:
-        """Run what came due meanwhile."""
+        """Resume the process and run the held callbacks, unless killed."""
         if not self.gone:
             self.unwind()
 
     def unwind(self) -> None:
-        """Let tasks run that end with the loop, also of one that is gone."""
+        """Run the held callbacks, also those of a process that was killed.
+
+        Without this, the tasks of a killed process could not be cancelled at
+        the end of the loop.
+        """
         self.paused = False
-        held = tuple(self._held)
-        self._held.clear()
-        for gate in held:
-            gate.schedule()
+        held_callbacks = tuple(self._held_callbacks)
+        self._held_callbacks.clear()
+        for held in held_callbacks:
+            held.schedule()
 
-    def hold(self, gate: _Gate) -> None:
-        """Keep a callback that came due."""
-        self._held.append(gate)
+    def hold(self, gate: _PausableCallback) -> None:
+        """Keep a callback that became due until the process is resumed."""
+        self._held_callbacks.append(gate)
 
     def start(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Run work as this process."""
+        """Start a task whose callbacks belong to this process."""
         loop = asyncio.get_running_loop()
         return loop.create_task(work, context=self._context.copy())
 
@@ -64,18 +69,18 @@
 def start_outside(
     work: Coroutine[Any, Any, Result],
 ) -> asyncio.Task[Result]:
-    """Run work that belongs to no process, whoever asks for it."""
+    """Start a task that belongs to no process, so that no pause holds it."""
     loop = asyncio.get_running_loop()
     return loop.create_task(work, context=contextvars.Context())
 
 
 def running_process() -> Process | None:
-    """Return the process that runs now."""
-    return _process.get(None)
+    """Return the process to which the running code belongs, if any."""
+    return _current_process.get(None)
 
 
 class PausingLoop(async_solipsism.EventLoop):  # type: ignore[misc]
-    """A loop in virtual time whose processes can be paused."""
+    """Event loop in virtual time whose processes can be paused."""
 
     def call_soon(
         self,
@@ -83,13 +88,15 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Arrange for a callback as soon as possible."""
+        """Schedule a callback in the next iteration; a pause holds it."""
         if context is None:
             context = contextvars.copy_context()
-        process = context.get(_process)
+        process = context.get(_current_process)
         if process is None:
             return self.call_free(callback, *args, context=context)
-        return _Gate(self, process, (callback, args), context).schedule()
+        return _PausableCallback(
+            self, process, (callback, args), context
+        ).schedule()
 
     def call_at(
         self,
@@ -98,27 +105,29 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Arrange for a callback at a time."""
+        """Schedule a callback at a loop time; a pause holds it."""
         if context is None:
             context = contextvars.copy_context()
-        process = context.get(_process)
+        process = context.get(_current_process)
         if process is None:
             return self.time_free(when, callback, *args, context=context)
-        return _Gate(self, process, (callback, args), context).schedule_at(when)
+        return _PausableCallback(
+            self, process, (callback, args), context
+        ).schedule_at(when)
 
     def call_free(self, *args: Any, **options: Any) -> asyncio.Handle:
-        """Arrange for a callback that no pause holds."""
-        handle: asyncio.Handle = _Loop.call_soon(self, *args, **options)
+        """Schedule a callback in the next iteration that no pause holds."""
+        handle: asyncio.Handle = _BaseLoop.call_soon(self, *args, **options)
         return handle
 
     def time_free(self, *args: Any, **options: Any) -> asyncio.TimerHandle:
-        """Arrange for a callback at a time, that no pause holds."""
-        handle: asyncio.TimerHandle = _Loop.call_at(self, *args, **options)
+        """Schedule a callback at a loop time that no pause holds."""
+        handle: asyncio.TimerHandle = _BaseLoop.call_at(self, *args, **options)
         return handle
 
 
-class _Gate:
-    """One callback of a process, on its way through the loop."""
+class _PausableCallback:
+    """Callback of a process; held if the process is paused when it is due."""
 
     def __init__(
         self,
@@ -131,22 +140,24 @@
         self._process = process
         self._call = call
         self._context = context
-        #: What its caller may cancel.
+        #: Handle with which the callback can be cancelled.
         self._handle: asyncio.Handle | None = None
 
     def schedule(self) -> asyncio.Handle:
-        """Have it run as soon as possible."""
-        handle = self._loop.call_free(self._run, context=self._context)
+        """Schedule the callback in the next iteration of the loop."""
+        handle = self._loop.call_free(self._run_or_hold, context=self._context)
         self._handle = self._handle or handle
         return handle
 
     def schedule_at(self, when: float) -> asyncio.TimerHandle:
-        """Have it run at a time."""
-        handle = self._loop.time_free(when, self._run, context=self._context)
+        """Schedule the callback at a loop time."""
+        handle = self._loop.time_free(
+            when, self._run_or_hold, context=self._context
+        )
         self._handle = handle
         return handle
 
-    def _run(self) -> None:
+    def _run_or_hold(self) -> None:
         if self._handle is not None and self._handle.cancelled():
             return
         if self._process.paused:
@@ -156,26 +167,32 @@
         callback(*args)
 
 
-_process: contextvars.ContextVar[Process | None] = contextvars.ContextVar(
-    'process', default=None
+_current_process: contextvars.ContextVar[Process | None] = (
+    contextvars.ContextVar('process', default=None)
 )
 
 
 async def unwind(processes: Iterable[Process]) -> None:
-    """Cancel all tasks but this one, and wait until they have ended."""
+    """Cancel all tasks but the current one, and wait until they have ended.
+
+    Parameters
+    ----------
+    processes
+        Processes whose held callbacks have to run for that.
+    """
     own = asyncio.current_task()
     for process in processes:
         process.unwind()
-    left = asyncio.all_tasks() - {own}
-    while left:
-        for task in left:
+    remaining = asyncio.all_tasks() - {own}
+    while remaining:
+        for task in remaining:
             task.cancel()
-        await asyncio.wait(left)
-        left = asyncio.all_tasks() - {own}
+        await asyncio.wait(remaining)
+        remaining = asyncio.all_tasks() - {own}
 
 
 def run_pausing(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run work to its end in virtual time."""
+    """Run a coroutine in virtual time, and return its result."""
     loop = PausingLoop()
     try:
         asyncio.set_event_loop(loop)
--- a/lab/model/plans.py
+++ b/lab/model/plans.py
@@ -1,4 +1,9 @@
-"""What happens in a history: drawn from a seed, or every way up to a depth."""
+"""Plans of histories: drawn at random from a seed, or enumerated.
+
+A plan gives the entries, the items of the job, and the steps: faults, and
+requests of the trainer. Small plans are enumerated exhaustively: every sequence
+of a given number of steps is played.
+"""
 
 from __future__ import annotations
 
@@ -18,31 +23,36 @@
     _Fates = tuple[Fate, ...]
     _Names = tuple[str, ...]
 
-_SMALL_GAP_S: Final = 0.6
-_TINY_GAP_S: Final = 0.05
-#: How long after a step the next one comes.
-_GAPS_S: Final = (0, _TINY_GAP_S, 0.2, 0.5, 1.1, 2.3)
-#: In events.
-_LENGTHS: Final = (3, 12, 40, 120)
-_SMALL_LENGTHS: Final = ((3, 3), (40, 3))
-_ENDED_SHARE: Final = 0.2
-_SCORED_SHARE: Final = 0.5
-_THIRD_SHARE: Final = 0.3
-_MOST_FATES: Final = 3
+_DEFAULT_GAP_S: Final = 0.6
+_SHORT_GAP_S: Final = 0.05
+#: Times between a step and the next one, drawn at random.
+_GAPS_S: Final = (0, _SHORT_GAP_S, 0.2, 0.5, 1.1, 2.3)
+#: Item lengths drawn at random.
+_ITEM_LENGTHS_EVENTS: Final = (3, 12, 40, 120)
+#: Item lengths of small plans, by group.
+_SMALL_PLAN_LENGTHS_EVENTS: Final = ((3, 3), (40, 3))
+#: Share of the drawn plans that may have a step which ends the job.
+_END_ALLOWED_SHARE: Final = 0.2
+_SCORED_JOB_SHARE: Final = 0.5
+#: Share of the drawn plans with three entries; the others have two.
+_THREE_ENTRIES_SHARE: Final = 0.3
+#: Largest `Step.count` that is drawn.
+_MAX_STEP_COUNT: Final = 3
 
 
 class Verb(enum.Enum):
-    """What is done in a step."""
+    """Kind of a step."""
 
     PAUSE = 'pause'
     GO_ON = 'go on'
     KILL = 'kill'
     RESTART = 'restart'
     STOP = 'stop'
-    #: One way only, to another entry or to the store.
+    #: Loses the calls of an entry to another entry or to the store; calls in
+    #: the opposite direction still get through.
     CUT = 'cut'
     HEAL = 'heal'
-    #: The next calls of a kind.
+    #: Sets the fate of the next calls of a kind.
     FATE = 'fate'
     READ = 'read'
     BODY = 'body'
@@ -53,7 +63,7 @@
 
 
 class CallKind(enum.Enum):
-    """What a call of a process is for."""
+    """Purpose of a call that a process makes."""
 
     RECORD = 'that stores results'
     CLAIM = 'that takes a job over'
@@ -66,34 +76,45 @@
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One step; entries are counted from the job's owner on."""
+    """One step of a history.
+
+    Entries are numbered in the order of their names, but the owner of the job
+    is number 0.
+    """
 
     verb: Verb
+    #: Number of the entry at which the step is done.
     where: int = 0
-    #: The other end of a link; -1 is the store.
+    #: Number of the entry to which a link is cut; -1 is the store.
     to: int = -1
+    #: The calls whose fate is set.
     call: CallKind = CallKind.RECORD
     fate: Fate = Fate.DONE
-    #: How many calls; of a read, how many positions it looks back.
+    #: Number of calls whose fate is set; `SCORE_FAILS` fails one call more. A
+    #: read begins ``count - 1`` positions before the first unread one.
     count: int = 1
-    gap_s: float = _SMALL_GAP_S
+    #: Time until the next step.
+    gap_s: float = _DEFAULT_GAP_S
 
 
 class Plan(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A history to be played."""
+    """Plan of one history."""
 
     name: str
+    #: Number of entries.
     entries: int
-    #: Items by group, in events.
+    #: Lengths of the job's items by group, in events.
     lengths: tuple[tuple[int, ...], ...]
+    #: Whether the items are scored.
     scored: bool
-    #: Whether every entry is asked for all after each step.
+    #: Whether results and unread bodies are requested from every entry after
+    #: each step.
     watched: bool
     steps: tuple[Step, ...]
 
 
-#: How often each is drawn.
-_WEIGHTS: Final[Mapping[Verb, int]] = MappingProxyType(
+#: Relative frequency at which each kind of step is drawn.
+_VERB_WEIGHTS: Final[Mapping[Verb, int]] = MappingProxyType(
     {
         Verb.PAUSE: 3,
         Verb.GO_ON: 3,
@@ -111,16 +132,21 @@
         Verb.SCORE_FAILS: 1,
     }
 )
-_WRITES: Final = tuple(Fate)[1:]
-_ANSWERED: Final = tuple(fate for fate in _WRITES if fate is not Fate.REFUSED)
-_FATES: Final[Mapping[CallKind, _Fates]] = MappingProxyType(
+#: Every fault, so without `Fate.DONE`.
+_WRITE_FATES: Final = tuple(Fate)[1:]
+_PEER_FATES: Final = tuple(
+    fate for fate in _WRITE_FATES if fate is not Fate.REFUSED
+)
+#: Faults that are drawn for each kind of call.
+_FATES_BY_CALL: Final[Mapping[CallKind, _Fates]] = MappingProxyType(
     {
-        **dict.fromkeys(CallKind, _WRITES),
+        **dict.fromkeys(CallKind, _WRITE_FATES),
         CallKind.LOOK: (Fate.LOST, Fate.SLOW, Fate.REFUSED),
-        CallKind.PEER: _ANSWERED,
+        CallKind.PEER: _PEER_FATES,
     }
 )
-_USED: Final[Mapping[Verb, _Names]] = MappingProxyType(
+#: Fields of a step that only some kinds of step use.
+_FIELDS_BY_VERB: Final[Mapping[Verb, _Names]] = MappingProxyType(
     {
         Verb.CUT: ('to',),
         Verb.FATE: ('call', 'fate', 'count'),
@@ -128,12 +154,12 @@
         Verb.SCORE_FAILS: ('count',),
     }
 )
-#: The steps of small worlds: two owners, two records, one reader.
-_SMALL: Final = (
+#: Steps of small plans, which have two owners, two records and one reader.
+_SMALL_PLAN_STEPS: Final = (
     Step(Verb.PAUSE),
     Step(Verb.GO_ON),
     Step(Verb.RESTART),
-    Step(Verb.STOP, gap_s=_TINY_GAP_S),
+    Step(Verb.STOP, gap_s=_SHORT_GAP_S),
     Step(Verb.CUT),
     Step(Verb.CUT, where=1, to=0),
     Step(Verb.HEAL),
@@ -143,44 +169,54 @@
     Step(Verb.READ),
     Step(Verb.READ, where=1),
     Step(Verb.READ, count=1),
-    Step(Verb.BODY, gap_s=_TINY_GAP_S),
+    Step(Verb.BODY, gap_s=_SHORT_GAP_S),
 )
 
 
 def drawn(seed: int, steps: int) -> Plan:
-    """Return the history of a seed."""
+    """Return the plan that is drawn at random from a seed.
+
+    Parameters
+    ----------
+    seed
+        Seed of the random numbers; the same seed gives the same plan.
+    steps
+        Number of steps in the plan.
+    """
     rng = random.Random(seed)
-    entries = 3 if rng.random() < _THIRD_SHARE else 2
-    verbs = dict(_WEIGHTS)
-    if rng.random() > _ENDED_SHARE:
-        verbs.pop(Verb.END)
+    entries = 3 if rng.random() < _THREE_ENTRIES_SHARE else 2
+    weights = dict(_VERB_WEIGHTS)
+    if rng.random() > _END_ALLOWED_SHARE:
+        weights.pop(Verb.END)
     return Plan(
         f'seed {seed}',
         entries,
         tuple(
-            tuple(rng.choices(_LENGTHS, k=2)) for _ in range(rng.randint(1, 3))
+            tuple(rng.choices(_ITEM_LENGTHS_EVENTS, k=2))
+            for _ in range(rng.randint(1, 3))
         ),
-        rng.random() < _SCORED_SHARE,
+        rng.random() < _SCORED_JOB_SHARE,
         rng.random() < 1 / 2,
         tuple(
-            _step(rng, verb, entries)
+            _draw_step(rng, verb, entries)
             for verb in rng.choices(
-                tuple(verbs), weights=tuple(verbs.values()), k=steps
+                tuple(weights), weights=tuple(weights.values()), k=steps
             )
         ),
     )
 
 
-def _step(rng: random.Random, verb: Verb, entries: int) -> Step:
+def _draw_step(rng: random.Random, verb: Verb, entries: int) -> Step:
     call = rng.choice(tuple(CallKind))
     choices = {
         'to': rng.randrange(-1, entries),
         'call': call,
-        'fate': rng.choice(_FATES[call]),
-        'count': rng.randint(1, _MOST_FATES),
+        'fate': rng.choice(_FATES_BY_CALL[call]),
+        'count': rng.randint(1, _MAX_STEP_COUNT),
     }
-    # The others would only make a plan hard to read.
-    used = {name: choices[name] for name in _USED.get(verb, ())}
+    # Leaves out fields that the step does not use: a printed plan is easier
+    # to read without them.
+    used = {name: choices[name] for name in _FIELDS_BY_VERB.get(verb, ())}
     return msgspec.convert(
         {
             'verb': verb,
@@ -193,12 +229,14 @@
 
 
 def small_worlds(depth: int) -> Iterator[Plan]:
-    """Return every history of so many steps of a small world."""
-    for number, steps in enumerate(itertools.product(_SMALL, repeat=depth)):
+    """Yield the small plans: every sequence of `depth` steps."""
+    for number, steps in enumerate(
+        itertools.product(_SMALL_PLAN_STEPS, repeat=depth)
+    ):
         yield Plan(
             f'small {number}',
             2,
-            _SMALL_LENGTHS,
+            _SMALL_PLAN_LENGTHS_EVENTS,
             scored=False,
             watched=True,
             steps=steps,
--- a/lab/model/search.py
+++ b/lab/model/search.py
@@ -1,4 +1,4 @@
-"""Plays many histories side by side, and tells what was found briefly."""
+"""Plays many histories in parallel, and shortens those that break a promise."""
 
 from __future__ import annotations
 
@@ -15,40 +15,48 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-#: Histories that a worker plays at a time.
-_CHUNK: Final = 20
-#: Found histories that are told; more are counted.
-_MOST_TOLD: Final = 5
+#: Histories that are sent to a worker process at a time.
+_CHUNK_HISTORIES: Final = 20
+#: Number of broken histories that are reported in full; the others are only
+#: counted.
+_MAX_REPORTED_HISTORIES: Final = 5
 _S_PER_HOUR: Final = 3600
 
 
 class Summary(NamedTuple):
-    """What all histories have shown."""
+    """Summary of the results of all histories."""
 
+    #: Number of histories.
     histories: int
+    #: Number of steps in each history.
     steps: int
+    #: Number of checks.
     checked: int
-    #: How long they took in virtual time, and on the machine.
+    #: Sum of the durations in virtual time.
     virtual_s: float
+    #: Duration of the search in real time.
     took_s: float
-    #: Those that broke a promise, made short.
+    #: The first histories that broke a promise; shortened at the end.
     found: list[Played]
+    #: Number of histories that broke a promise.
     broken: int
 
     def plus(self, played: Played) -> Summary:
-        """Return this and one more history."""
+        """Return the summary with one more history added."""
         broke = bool(played.broken)
-        told_too = [played] if broke and self.broken < _MOST_TOLD else []
+        reported = (
+            [played] if broke and self.broken < _MAX_REPORTED_HISTORIES else []
+        )
         return self._replace(
             histories=self.histories + 1,
             checked=self.checked + played.checked,
             virtual_s=self.virtual_s + played.took_s,
-            found=[*self.found, *told_too],
+            found=[*self.found, *reported],
             broken=self.broken + broke,
         )
 
     def __str__(self) -> str:
-        """Tell it in a line, and each history that was found."""
+        """Return one line for all, and the broken histories in full."""
         virtual_h = round(self.virtual_s / _S_PER_HOUR, 1)
         took_s = round(self.took_s, 1)
         lines = [
@@ -61,56 +69,81 @@
 
 
 def search_seeds(seeds: Iterable[int], steps: int, jobs: int = 1) -> Summary:
-    """Play the histories of seeds."""
+    """Play the history of each seed.
+
+    Parameters
+    ----------
+    seeds
+        Seeds from which the plans are drawn.
+    steps
+        Number of steps in each history.
+    jobs
+        Number of worker processes; 1 plays all histories in this process.
+    """
     plans = (drawn(seed, steps) for seed in seeds)
-    return _search(plans, steps, jobs)
+    return _search_plans(plans, steps, jobs)
 
 
 def search_small(depth: int, jobs: int = 1) -> Summary:
-    """Play every history of so many steps of a small world."""
-    return _search(small_worlds(depth), depth, jobs)
+    """Play the histories of all small plans.
+
+    Parameters
+    ----------
+    depth
+        Number of steps in each history.
+    jobs
+        Number of worker processes; 1 plays all histories in this process.
+    """
+    return _search_plans(small_worlds(depth), depth, jobs)
 
 
 def shortest(played: Played) -> Played:
-    """Leave out every step without which the same promise breaks."""
+    """Shorten a history that broke a promise, and return the short one.
+
+    Each step is left out in turn; it stays out if the same promise is broken
+    without it.
+    """
     promise = played.broken[0].promise
-    found = played
+    shortened = played
     for number in reversed(range(len(played.plan.steps))):
-        shorter = play(_without(found.plan, number))
-        if shorter.broken and shorter.broken[0].promise is promise:
-            found = shorter
-    return found
+        candidate = play(_without_step(shortened.plan, number))
+        if candidate.broken and candidate.broken[0].promise is promise:
+            shortened = candidate
+    return shortened
 
 
 def told(played: Played) -> str:
-    """Return a history as a story, and as the plan that plays it again."""
+    """Return the lines that report a history, and its plan as JSON.
+
+    The history can be played again from the plan.
+    """
     lines = '\n'.join(f'  {line}' for line in played.story)
     plan = msgspec.json.encode(played.plan).decode()
     name = played.plan.name
     return f'{name}:\n{lines}\n  plan: {plan}'
 
 
-def _without(plan: Plan, number: int) -> Plan:
+def _without_step(plan: Plan, number: int) -> Plan:
     steps = (*plan.steps[:number], *plan.steps[number + 1 :])
     return msgspec.structs.replace(plan, steps=steps)
 
 
-def _search(plans: Iterable[Plan], steps: int, jobs: int) -> Summary:
-    began = time.monotonic()
+def _search_plans(plans: Iterable[Plan], steps: int, jobs: int) -> Summary:
+    began_s = time.monotonic()
     summary = Summary(0, steps, 0, 0, 0, [], 0)
-    for played in _played(plans, jobs):
+    for played in _play_all(plans, jobs):
         summary = summary.plus(played)
     return summary._replace(
-        took_s=time.monotonic() - began,
+        took_s=time.monotonic() - began_s,
         found=[shortest(one) for one in summary.found],
     )
 
 
-def _played(plans: Iterable[Plan], jobs: int) -> Iterator[Played]:
+def _play_all(plans: Iterable[Plan], jobs: int) -> Iterator[Played]:
     if jobs == 1:
         yield from map(play, plans)
         return
     with ProcessPoolExecutor(
         jobs, mp_context=multiprocessing.get_context('spawn')
     ) as pool:
-        yield from pool.map(play, plans, chunksize=_CHUNK)
+        yield from pool.map(play, plans, chunksize=_CHUNK_HISTORIES)
--- a/lab/model/trainer.py
+++ b/lab/model/trainer.py
@@ -1,4 +1,4 @@
-"""The trainer of a history: hands its job in, reads, asks for bodies."""
+"""Trainer of a history: submits its job, reads results and item bodies."""
 
 from __future__ import annotations
 
@@ -23,13 +23,22 @@
 
 JOB_PATH: Final = '/roll/'
 SCORE_PATH: Final = '/score/'
-#: How long a caller waits for its answer.
-_PATIENCE_S: Final = 5
-_WAIT_MS: Final = '300'
+#: Time that the trainer waits for the response to a request.
+_REQUEST_TIMEOUT_S: Final = 5
+#: Time that an entry may wait for new results before it responds to a read.
+_PAGE_WAIT_MS: Final = '300'
 
 
 class ModelTrainer:
-    """Sends what a trainer sends, and has the answers checked."""
+    """Trainer that sends requests to entries and has the responses checked.
+
+    Parameters
+    ----------
+    lengths
+        Lengths of the job's items by group, in events.
+    scored
+        Whether the items are scored.
+    """
 
     def __init__(
         self, lengths: tuple[tuple[int, ...], ...], scored: bool
@@ -44,85 +53,116 @@
             for group, members in enumerate(lengths)
             for number, length in enumerate(members)
         )
-        self._groups = len(lengths)
+        self._group_count = len(lengths)
         self._calls: set[asyncio.Task[None]] = set()
 
     def begin(self, call: Coroutine[Any, Any, None]) -> None:
-        """Make a call while the history goes on."""
+        """Start a call as a task, while the history continues."""
         task = start_outside(call)
         self._calls.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._remove_call)
 
     async def hand_in(self, entry: ModelEntry, witness: Witness) -> None:
-        """Hand the job in, or hand it in again."""
-        body = job_body(JOB_PATH, self.items, 1, self._groups)
+        """Submit the job at an entry, also if it was submitted before."""
+        body = job_body(JOB_PATH, self.items, 1, self._group_count)
         target = f'{JOB_PATH}{JOB}'
-        answer = await _ask(
+        response = await _send_request(
             entry, 'POST', target, (names.REQUEST_ID, JOB), body
         )
-        if answer is None:
+        if response is None:
             return
-        if answer.status == HTTPStatus.ACCEPTED:
+        if response.status == HTTPStatus.ACCEPTED:
             witness.accepted = True
-        elif answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
+        elif response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             witness.see_refused()
 
     async def read(
         self, entry: ModelEntry, witness: Witness, back: int
     ) -> None:
-        """Read on at an entry, or read some of the last positions again."""
+        """Read results at an entry, and have them checked.
+
+        Parameters
+        ----------
+        entry
+            Entry at which the results are read.
+        witness
+            Checks the results.
+        back
+            Number of the last positions that are read again.
+        """
         after = max(len(witness.read) - back, 0)
-        paused = entry.pauses
-        page = await self.page(entry, after, _WAIT_MS)
+        pauses = entry.pauses
+        page = await self.page(entry, after, _PAGE_WAIT_MS)
         now_s = asyncio.get_running_loop().time()
         if page == HTTPStatus.NOT_FOUND:
             witness.see_denied()
-        elif isinstance(page, dict) and entry.pauses == paused:
+        elif isinstance(page, dict) and entry.pauses == pauses:
             witness.see_page(after, page, now_s)
 
     async def page(
         self, entry: ModelEntry, after: int, wait_ms: str = ''
     ) -> dict[str, Any] | int | None:
-        """Return a page; the status where there is none."""
+        """Read one page of results.
+
+        Parameters
+        ----------
+        entry
+            Entry at which the page is read.
+        after
+            Position of the first result of the page.
+        wait_ms
+            Time in ms that the entry may wait for results; empty for no wait.
+
+        Returns
+        -------
+        dict, int or None
+            The page; the status of another response; ``None`` if there was no
+            response.
+        """
         target = f'{names.RESULTS_PATH}{JOB}?after={after}'
-        answer = await _ask(entry, 'GET', target, (names.WAIT_MS, wait_ms))
-        if answer is None or answer.status != HTTPStatus.OK:
-            return None if answer is None else answer.status
-        page: dict[str, Any] = json.loads(_whole(answer))
+        response = await _send_request(
+            entry, 'GET', target, (names.WAIT_MS, wait_ms)
+        )
+        if response is None or response.status != HTTPStatus.OK:
+            return None if response is None else response.status
+        page: dict[str, Any] = json.loads(_body_bytes(response))
         return page
 
     async def body(
         self, entry: ModelEntry, witness: Witness, item: str
     ) -> None:
-        """Ask for the body of an item."""
-        paused = entry.pauses
+        """Read the body of an item at an entry, and have it checked.
+
+        A response that an entry gave across a pause or a kill is not checked.
+        """
+        pauses = entry.pauses
         target = f'{names.BODY_PATH}{JOB}?id={item}'
-        answer = await _ask(entry, 'GET', target)
-        if answer is None or entry.pauses != paused:
+        response = await _send_request(entry, 'GET', target)
+        if response is None or entry.pauses != pauses:
             return
-        if answer.status == HTTPStatus.OK:
-            witness.see_body(item, _whole(answer))
-        elif answer.status == HTTPStatus.NOT_FOUND:
+        if response.status == HTTPStatus.OK:
+            witness.see_body(item, _body_bytes(response))
+        elif response.status == HTTPStatus.NOT_FOUND:
             witness.see_body(item, None)
 
     async def end(self, entry: ModelEntry, witness: Witness) -> None:
-        """End the job."""
+        """Request at an entry that the job ends."""
         target = f'{names.RESULTS_PATH}{JOB}'
-        answer = await _ask(entry, 'DELETE', target)
-        if answer is None:
+        response = await _send_request(entry, 'DELETE', target)
+        if response is None:
             return
-        if answer.status == HTTPStatus.OK:
+        if response.status == HTTPStatus.OK:
             witness.see_end(asyncio.get_running_loop().time())
-        elif answer.status == HTTPStatus.NOT_FOUND:
+        elif response.status == HTTPStatus.NOT_FOUND:
             witness.see_denied()
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _remove_call(self, task: asyncio.Task[None]) -> None:
         self._calls.discard(task)
         if not task.cancelled():
             task.result()
 
 
-async def _ask(
+async def _send_request(
     entry: ModelEntry,
     method: str,
     target: str,
@@ -133,15 +173,16 @@
     request = received(method, target, headers, body)
     if entry.process.gone:
         return None
-    # A paused process does not even notice that its caller leaves.
-    asked = entry.ask(request)
-    await asyncio.wait((asked,), timeout=_PATIENCE_S)
-    if asked.done() and not asked.cancelled():
-        return asked.result()
-    asked.cancel()
+    # A paused process does not notice that its caller gives up, so the
+    # cancelled task is not awaited.
+    handling = entry.ask(request)
+    await asyncio.wait((handling,), timeout=_REQUEST_TIMEOUT_S)
+    if handling.done() and not handling.cancelled():
+        return handling.result()
+    handling.cancel()
     return None
 
 
-def _whole(answer: HttpResponse) -> bytes:
-    assert isinstance(answer.body, bytes)
-    return answer.body
+def _body_bytes(response: HttpResponse) -> bytes:
+    assert isinstance(response.body, bytes)
+    return response.body
--- a/lab/model/upstreams.py
+++ b/lab/model/upstreams.py
@@ -1,4 +1,4 @@
-"""Engines and a scoring service, in memory."""
+"""In-memory models of the engines and of the scoring service."""
 
 from __future__ import annotations
 
@@ -16,38 +16,39 @@
 
     from bergamotdoor.http.messages import HttpRequest
 
-#: Events come in pieces of so many.
-_EVENTS_EACH: Final = 5
-_PIECE_S: Final = 0.12
-_SCORE_S: Final = 0.02
-_MOST_BYTES: Final = 100_000
-_PROOF: Final = 'proof of '
+_EVENTS_PER_CHUNK: Final = 5
+_CHUNK_INTERVAL_S: Final = 0.12
+_SCORE_DURATION_S: Final = 0.02
+_MAX_BODY_BYTES: Final = 100_000
+_STAMP_PREFIX: Final = 'proof of '
 
 
 class ModelEngine:
-    """Generates as many events as an item's body says.
+    """Engine that generates as many events as the body of an item states.
 
     Parameters
     ----------
     started
-        Told of each item that is begun, and of the process that asked.
+        Called when an item starts, with the name of the process that sent it
+        and the id of the item.
     """
 
     def __init__(self, started: Callable[[str, str], None]) -> None:
+        #: Version of the weights.
         self.version = 1
-        #: Streams under way, by the process that reads them.
-        self._runs: set[_Run] = set()
+        #: Streams in flight.
+        self._streams: set[_EventStream] = set()
         self._started = started
 
     async def handle(self, origin: str, request: HttpRequest) -> HttpResponse:
-        """Run one item."""
+        """Start to generate an item; return the stream of its events."""
         item = request.headers.first(names.REQUEST_ID)
         last = int(request.headers.first(names.LAST_EVENT_ID, '0'))
-        length = int(await request.read_body(_MOST_BYTES))
+        length = int(await request.read_body(_MAX_BODY_BYTES))
         self._started(origin, item)
-        run = _Run(self, origin, item, range(last + 1, length + 1))
-        self._runs.add(run)
-        run.task.add_done_callback(lambda _: self._runs.discard(run))
+        stream = _EventStream(self, origin, item, range(last + 1, length + 1))
+        self._streams.add(stream)
+        stream.task.add_done_callback(lambda _: self._streams.discard(stream))
         fields = [
             (names.REQUEST_ID, item),
             (names.STAMP, proof_of(item)),
@@ -56,23 +57,35 @@
         return HttpResponse(
             status=int(HTTPStatus.OK),
             headers=Headers.of(fields),
-            body=run.pieces(),
+            body=stream.chunks(),
         )
 
     def break_streams(self) -> None:
-        """Cut all streams."""
-        for run in tuple(self._runs):
-            run.cut()
+        """Break the connections of all streams."""
+        for stream in tuple(self._streams):
+            stream.break_off()
 
     def drop(self, origin: str) -> None:
-        """End the streams of a process that is gone."""
-        for run in tuple(self._runs):
-            if run.origin == origin:
-                run.task.cancel()
+        """End the streams to a process that was killed."""
+        for stream in tuple(self._streams):
+            if stream.origin == origin:
+                stream.task.cancel()
 
 
-class _Run:
-    """One stream; generated whether or not its reader is paused."""
+class _EventStream:
+    """Stream of the events of an item, also generated if its reader is paused.
+
+    Parameters
+    ----------
+    engine
+        Engine that generates the events.
+    origin
+        Name of the process that reads the stream.
+    item
+        Id of the item.
+    events
+        Numbers of the events that are still to be generated.
+    """
 
     def __init__(
         self, engine: ModelEngine, origin: str, item: str, events: range
@@ -81,56 +94,59 @@
         self._engine = engine
         self._item = item
         self._events = events
-        #: An empty piece is the end, None a break.
-        self._pieces: asyncio.Queue[bytes | None] = asyncio.Queue()
+        #: Chunks that were generated; an empty one is the end of the stream,
+        #: ``None`` a broken connection.
+        self._chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
         self.task = start_outside(self._generate())
 
-    async def pieces(self) -> AsyncIterator[bytes]:
-        """Return what is generated, until the reader leaves."""
+    async def chunks(self) -> AsyncIterator[bytes]:
+        """Yield the generated chunks; stop generation if the reader leaves."""
         try:
-            while piece := await self._pieces.get():
-                yield piece
+            while chunk := await self._chunks.get():
+                yield chunk
         finally:
             self.task.cancel()
-        if piece is None:
-            raise BodyBrokenError('cut')
+        if chunk is None:
+            raise BodyBrokenError('connection broken')
 
-    def cut(self) -> None:
-        """Break off."""
+    def break_off(self) -> None:
+        """Stop the generation, and break the connection to the reader."""
         self.task.cancel()
-        self._pieces.put_nowait(None)
+        self._chunks.put_nowait(None)
 
     async def _generate(self) -> None:
         version = self._engine.version
-        for first in self._events[::_EVENTS_EACH]:
-            await asyncio.sleep(_PIECE_S)
-            told = self._engine.version != version
+        for first in self._events[::_EVENTS_PER_CHUNK]:
+            await asyncio.sleep(_CHUNK_INTERVAL_S)
+            version_changed = self._engine.version != version
             version = self._engine.version
-            end = min(first + _EVENTS_EACH, self._events.stop)
+            end = min(first + _EVENTS_PER_CHUNK, self._events.stop)
             events = [
-                self._event(number, version) for number in range(first, end)
+                self._format_event(number, version)
+                for number in range(first, end)
             ]
-            if told:
+            if version_changed:
                 events.insert(0, f'{names.WEIGHT_VERSION}: {version}\n')
-            self._pieces.put_nowait(''.join(events).encode())
-        self._pieces.put_nowait(b'')
+            self._chunks.put_nowait(''.join(events).encode())
+        self._chunks.put_nowait(b'')
 
-    def _event(self, number: int, version: int) -> str:
+    def _format_event(self, number: int, version: int) -> str:
         line = text_line(self._item, number, version)
         return f'id: {number}\ndata: {line}\n\n'
 
 
 class ModelScorer:
-    """Scores texts; fails on them as often as it is told to."""
+    """Scoring service whose next calls can be made to fail."""
 
     def __init__(self) -> None:
+        #: Number of the next calls that fail.
         self.fail_next = 0
-        #: How often each call was answered with a failure.
+        #: Number of failures returned for each score call, by request id.
         self.failures: Counter[str] = Counter()
 
     async def handle(self, origin: str, request: HttpRequest) -> HttpResponse:
-        """Score one text."""
-        await asyncio.sleep(_SCORE_S)
+        """Return the score of a text, or a failure."""
+        await asyncio.sleep(_SCORE_DURATION_S)
         call = request.headers.first(names.REQUEST_ID)
         status = HTTPStatus.OK
         if self.fail_next:
@@ -144,10 +160,10 @@
 
 
 def proof_of(request_id: str) -> str:
-    """Return what proves an answer to a request."""
-    return f'{_PROOF}{request_id}'
+    """Return the stamp which proves that a response answers a request."""
+    return f'{_STAMP_PREFIX}{request_id}'
 
 
 def text_line(item: str, number: int, version: int) -> str:
-    """Return what an engine generates as one event."""
+    """Return the text line that an engine generates as one event."""
     return f'{item}/{number}/v{version}'
--- a/lab/model/witness.py
+++ b/lab/model/witness.py
@@ -1,4 +1,4 @@
-"""What is checked of every answer, and of what the store holds."""
+"""Checks of the responses that a trainer receives, and of the store."""
 
 from __future__ import annotations
 
@@ -16,18 +16,20 @@
 
 JOB: Final = 'j1'
 PARTS_KIND: Final = f'job-{JOB}'
-#: After a position was read, until it must be there everywhere.
-_SETTLED_S: Final = 1
-#: After an end is confirmed, until nothing starts.
-_ENDED_S: Final = 3
-#: After so many answers of 500 a text is given up.
+#: Time after the first read of a position, within which every entry has to
+#: list that position.
+_VISIBILITY_S: Final = 1
+#: Time after the confirmed end of the job, from which no item may start.
+_END_EFFECT_S: Final = 3
+#: Number of responses with status 500 to the score calls of a text, after
+#: which the text is lost.
 MOST_FAILURES: Final = 4
-_RECORD: Final = 'result-'
-_ID: Final = 'id'
+_RECORD_PREFIX: Final = 'result-'
+_ID_KEY: Final = 'id'
 
 
 class Promise(enum.Enum):
-    """What must hold."""
+    """Promise to the trainer that every history has to keep."""
 
     POSITION = 'a position holds one result for good'
     ONCE = 'no item stands at two positions'
@@ -42,25 +44,26 @@
 
 
 class Broken(NamedTuple):
-    """A promise that did not hold."""
+    """Promise that was broken, with the observation that shows it."""
 
     promise: Promise
     detail: str
 
 
 class Witness:
-    """Knows what was seen, and tells what cannot be.
+    """Checker that compares new observations with the earlier ones.
 
     Parameters
     ----------
     lengths
-        The items of the job, in events.
+        Lengths of the job's items in events, by item.
     scored
-        Whether they want a score.
+        Whether the items are scored.
     table
-        What the store holds.
+        Objects in the store.
     failures
-        Returns how often a score call was answered with a failure.
+        Function that returns the number of failures with which the score call
+        of a given id was answered.
     """
 
     def __init__(
@@ -72,25 +75,28 @@
     ) -> None:
         self.lengths = lengths
         self.broken: list[Broken] = []
+        #: Number of checks.
         self.checked = 0
+        #: Whether an entry has accepted the job.
         self.accepted = False
-        #: What was read at each position, and since when.
+        #: First result that was read at each position.
         self.read: dict[int, dict[str, Any]] = {}
-        self._read_at_s: dict[int, float] = {}
-        self._ended_at_s: float | None = None
+        #: Time of the first read of each position.
+        self._first_read_at_s: dict[int, float] = {}
+        self._end_confirmed_at_s: float | None = None
         self._scored = scored
         self._table = table
         self._failures = failures
 
     @property
     def unread(self) -> list[str]:
-        """The items that were not read yet."""
-        read = {result[_ID] for result in self.read.values()}
-        return [item for item in self.lengths if item not in read]
+        """Items whose results have not been read."""
+        read_items = {result[_ID_KEY] for result in self.read.values()}
+        return [item for item in self.lengths if item not in read_items]
 
     @property
     def ended(self) -> bool:
-        """Whether the store holds that the job is ended."""
+        """Whether the job is ended according to the store."""
         stored = self._table.of_kind('jobs').get(JOB)
         return stored is not None and bool(
             (stored['status'] or {}).get('ended')
@@ -98,106 +104,122 @@
 
     @property
     def listed(self) -> list[str]:
-        """The items of all records in the store, in order."""
+        """Items of all result records in the store, in order."""
         records = self._table.of_kind(PARTS_KIND)
         return [
             result['item']
             for name in sorted(records)
-            if name.startswith(_RECORD)
+            if name.startswith(_RECORD_PREFIX)
             for result in records[name]['spec']['results']
         ]
 
     def see_page(self, after: int, page: dict[str, Any], now_s: float) -> None:
-        """Take a page that was read."""
+        """Check a page of results.
+
+        Parameters
+        ----------
+        after
+            Position of the first result of the page.
+        page
+            The page as the trainer received it.
+        now_s
+            Current loop time.
+        """
         if page['total'] != len(self.lengths):
-            self._break(Promise.ACCEPTED, f'{page["total"]} items in all')
+            self._record_broken(
+                Promise.ACCEPTED, f'{page["total"]} items in all'
+            )
         for position, result in enumerate(page['results'], start=after):
-            self._see_result(position, result, now_s)
-        read_at_s = self._read_at_s.get(after, now_s)
-        if not page['results'] and read_at_s <= now_s - _SETTLED_S:
-            ago_s = round(now_s - read_at_s, 2)
-            self._break(
+            self._check_result(position, result, now_s)
+        first_read_at_s = self._first_read_at_s.get(after, now_s)
+        if not page['results'] and first_read_at_s <= now_s - _VISIBILITY_S:
+            ago_s = round(now_s - first_read_at_s, 2)
+            self._record_broken(
                 Promise.READ,
                 f'nothing at position {after}, which was read {ago_s} s before',
             )
         self.checked += 1
 
     def see_denied(self) -> None:
-        """Take that there is no such job."""
+        """Check a response which says that there is no such job."""
         if self.accepted:
-            self._break(Promise.ACCEPTED, 'no such job')
+            self._record_broken(Promise.ACCEPTED, 'no such job')
 
     def see_body(self, item: str, body: bytes | None) -> None:
-        """Take an item's body, None for one that is denied."""
+        """Check the body of an item; ``None`` if the entry denied it."""
         self.checked += 1
         if body is not None:
             if body != str(self.lengths[item]).encode():
-                self._break(Promise.BODY, f'{body!r} of item {item}')
+                self._record_broken(Promise.BODY, f'{body!r} of item {item}')
         elif self.accepted and item not in self.listed and not self.ended:
-            self._break(Promise.BODY, f'item {item} is not listed, yet denied')
+            self._record_broken(
+                Promise.BODY, f'item {item} is not listed, yet denied'
+            )
 
     def see_refused(self) -> None:
-        """Take that a job that was refused is not there."""
+        """Check that the job is not in the store after it was refused."""
         if JOB in self._table.of_kind('jobs'):
-            self._break(Promise.REFUSED, 'it is in the store')
+            self._record_broken(Promise.REFUSED, 'it is in the store')
 
     def see_end(self, now_s: float) -> None:
-        """Take that the job's end was confirmed."""
-        if self._ended_at_s is None:
-            self._ended_at_s = now_s
+        """Record that an entry confirmed the end of the job."""
+        if self._end_confirmed_at_s is None:
+            self._end_confirmed_at_s = now_s
 
     def see_start(self, item: str, calm_since_s: float, now_s: float) -> None:
-        """Take that an engine begins an item.
+        """Check that an item may still start at an engine.
 
         Parameters
         ----------
         item
-            Which one.
+            The item that starts.
         calm_since_s
-            Since when nothing has gone wrong at the entry that sent it.
+            Loop time of the last disturbance of the entry that sent the item.
+            The time in which items may still start counts from there, if the
+            end of the job was confirmed before.
         now_s
-            The time.
+            Current loop time.
         """
-        since_s = max(calm_since_s, self._ended_at_s or now_s)
-        if now_s - since_s > _ENDED_S:
-            self._break(Promise.END, f'item {item} starts')
+        since_s = max(calm_since_s, self._end_confirmed_at_s or now_s)
+        if now_s - since_s > _END_EFFECT_S:
+            self._record_broken(Promise.END, f'item {item} starts')
 
     def see_store(self) -> None:
-        """Look at what the store holds."""
+        """Check that the store lists no item twice."""
         self.checked += 1
         listed = self.listed
         if len(listed) > len(set(listed)):
-            self._break(Promise.ONCE, f'the store lists {listed}')
+            self._record_broken(Promise.ONCE, f'the store lists {listed}')
 
     def see_all(self, entry: str, results: list[dict[str, Any]]) -> None:
-        """Take all results of an entry once all is well."""
+        """Check that an entry lists all items once the faults are over."""
         self.checked += 1
-        found = sorted(result[_ID] for result in results)
-        if found != sorted(self.lengths) and not self.ended:
-            self._break(Promise.COMPLETE, f'{entry} lists {found}')
+        items = sorted(result[_ID_KEY] for result in results)
+        if items != sorted(self.lengths) and not self.ended:
+            self._record_broken(Promise.COMPLETE, f'{entry} lists {items}')
 
-    def _see_result(
+    def _check_result(
         self, position: int, result: dict[str, Any], now_s: float
     ) -> None:
         known = self.read.setdefault(position, result)
-        self._read_at_s.setdefault(position, now_s)
+        self._first_read_at_s.setdefault(position, now_s)
         if known != result:
-            self._break(
+            self._record_broken(
                 Promise.POSITION,
-                f'position {position} holds {_short(result)}, '
-                f'it held {_short(known)}',
+                f'position {position} holds {_describe(result)}, '
+                f'it held {_describe(known)}',
             )
-        for other, one in self.read.items():
-            if other != position and one[_ID] == result[_ID]:
-                self._break(
+        for other, earlier in self.read.items():
+            if other != position and earlier[_ID_KEY] == result[_ID_KEY]:
+                self._record_broken(
                     Promise.ONCE,
-                    f'item {one["id"]} at positions {other} and {position}',
+                    f'item {earlier["id"]} at positions {other} and {position}',
                 )
-        for wrong in self._wrong(result):
-            self._break(*wrong)
+        for broken in self._check_content(result):
+            self._record_broken(*broken)
 
-    def _wrong(self, result: dict[str, Any]) -> Iterator[Broken]:
-        item = result[_ID]
+    def _check_content(self, result: dict[str, Any]) -> Iterator[Broken]:
+        item = result[_ID_KEY]
         call = score_id(item)
         if result['state'] == 'lost':
             if self._failures(call) < MOST_FAILURES and not self.ended:
@@ -205,27 +227,27 @@
             return
         lines = result['text'].split('\n')
         versions = {int(line.rpartition('/v')[2]) for line in lines}
-        made = [int(line.rpartition('/v')[2]) for line in lines]
-        whole = [
+        line_versions = [int(line.rpartition('/v')[2]) for line in lines]
+        expected = [
             text_line(item, number, version)
-            for number, version in enumerate(made, start=1)
+            for number, version in enumerate(line_versions, start=1)
         ]
-        if lines != whole or len(lines) != self.lengths[item]:
+        if lines != expected or len(lines) != self.lengths[item]:
             yield Broken(Promise.TEXT, f'item {item}: {lines}')
         if versions != set(result['versions']):
             yield Broken(
                 Promise.TEXT, f'item {item}: versions {result["versions"]}'
             )
-        wanted = proof_of(call) if self._scored else ''
+        expected_score = proof_of(call) if self._scored else ''
         score = result.get('score', '')
-        if score != wanted:
+        if score != expected_score:
             yield Broken(Promise.TEXT, f'item {item}: score {score!r}')
 
-    def _break(self, promise: Promise, detail: str) -> None:
+    def _record_broken(self, promise: Promise, detail: str) -> None:
         self.broken.append(Broken(promise, detail))
 
 
-def _short(result: dict[str, Any]) -> str:
-    item, state = result[_ID], result['state']
+def _describe(result: dict[str, Any]) -> str:
+    item, state = result[_ID_KEY], result['state']
     size_bytes = len(json.dumps(result))
     return f'{item} ({state}, {size_bytes} bytes)'
--- a/lab/model/world.py
+++ b/lab/model/world.py
@@ -1,4 +1,4 @@
-"""The processes of one history, and the models around them."""
+"""Entry processes of one history, and the models that surround them."""
 
 from __future__ import annotations
 
@@ -36,46 +36,50 @@
 _STORE_PORT: Final = 9000
 _ENGINE_PORT: Final = 9100
 _SCORER_PORT: Final = 9200
-_ENGINES: Final = 2
-_SLOTS: Final = 4
-#: Entries know each other a second after their start.
-_BEGIN_S: Final = 1.2
-_SCORER: Final = 'scorer'
-_DUE_MS: Final = 7500
-_SCORE_MS: Final = 1500
+_ENGINE_COUNT: Final = 2
+_SLOTS_PER_UPSTREAM: Final = 4
+#: Wait after the entries are started; they have discovered each other a second
+#: after their start.
+_STARTUP_S: Final = 1.2
+_SCORER_NAME: Final = 'scorer'
+_JOB_DUE_MS: Final = 7500
+_SCORE_TIMEOUT_MS: Final = 1500
 _ROUTES: Final = (
-    route(HOST, JOB_PATH, 'rollout', ENGINES, max_attempts=3, due_ms=_DUE_MS),
+    route(
+        HOST, JOB_PATH, 'rollout', ENGINES, max_attempts=3, due_ms=_JOB_DUE_MS
+    ),
     route(
         HOST,
         SCORE_PATH,
         'unsafe',
         DESKS,
         max_attempts=MOST_FAILURES,
-        timeout_ms=_SCORE_MS,
+        timeout_ms=_SCORE_TIMEOUT_MS,
     ),
 )
 
 
 class World:
-    """The processes of one history.
+    """Entries, store, engines, scorer and trainer of one history.
 
     Parameters
     ----------
     plan
-        What happens in it.
+        Plan of the history.
     """
 
     def __init__(self, plan: Plan) -> None:
+        #: Lines that report what happened, with the virtual time.
         self.story: list[str] = []
         self.plan = plan
         self._clock = virtual_clock()
-        self._store = Store(_at(_STORE_PORT), self._clock)
+        self._store = Store(_address_at(_STORE_PORT), self._clock)
         self.engines = {
-            f'engine-{number}': ModelEngine(self._started)
-            for number in range(_ENGINES)
+            f'engine-{number}': ModelEngine(self._check_item_start)
+            for number in range(_ENGINE_COUNT)
         }
         self.scorer = ModelScorer()
-        self.faults = Faults(frozenset((*self.engines, _SCORER)))
+        self.faults = Faults(frozenset((*self.engines, _SCORER_NAME)))
         self._network = Network(self.faults)
         self.trainer = ModelTrainer(plan.lengths, plan.scored)
         self.witness = Witness(
@@ -84,34 +88,37 @@
             self._store.table,
             self.scorer.failures.__getitem__,
         )
-        #: The present start of each entry.
+        #: Current process of each entry, by name.
         self.entries: dict[str, ModelEntry] = {}
+        #: All processes that were started, the ended ones too.
         self._processes: list[Process] = []
 
     async def start(self) -> None:
-        """Start everything; return once entries know each other."""
-        self._network.serve(_at(_STORE_PORT), STORE, self._answer_store)
+        """Start the servers and entries, and wait for discovery of peers."""
+        self._network.serve(_address_at(_STORE_PORT), STORE, self._answer_store)
         for number, (name, engine) in enumerate(self.engines.items()):
-            address = _at(_ENGINE_PORT + number)
+            address = _address_at(_ENGINE_PORT + number)
             self._network.serve(address, name, engine.handle)
-        self._network.serve(_at(_SCORER_PORT), _SCORER, self.scorer.handle)
+        self._network.serve(
+            _address_at(_SCORER_PORT), _SCORER_NAME, self.scorer.handle
+        )
         for number in range(self.plan.entries):
             self.start_entry(f'entry-{number}')
-        await asyncio.sleep(_BEGIN_S)
+        await asyncio.sleep(_STARTUP_S)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Kill all entries, and cancel what is left of their tasks."""
         for name in self.entries:
             self.kill(name)
         await unwind(self._processes)
 
     def start_entry(self, name: str) -> None:
-        """Start an entry, anew if it was there before."""
+        """Start an entry, or a new process of one that ran before."""
         number = int(name.rpartition('-')[2])
         plan = self.plan.name
         starts = len(self._processes)
         entry = ModelEntry(
-            entry_settings(number, _at(_STORE_PORT)),
+            entry_settings(number, _address_at(_STORE_PORT)),
             self._network,
             self._clock,
             fixed_manifest(list(_ROUTES)),
@@ -120,22 +127,22 @@
         self.entries[name] = entry
         self._processes.append(entry.process)
         self.faults.disturb(name)
-        entry.start(list(self._upstreams()))
+        entry.start(list(self._registered_upstreams()))
 
     def kill(self, name: str) -> None:
-        """End an entry at once; its connections close."""
+        """End an entry at once, and its streams from the engines."""
         self.entries[name].kill()
         for engine in self.engines.values():
             engine.drop(name)
 
     def tell(self, what: str) -> None:
-        """Add a line to the story."""
+        """Add a line with the current time to the reported lines."""
         now_s = asyncio.get_running_loop().time()
-        moment = format(now_s, '6.2f')
-        self.story.append(f'{moment} s  {what}')
+        formatted_s = format(now_s, '6.2f')
+        self.story.append(f'{formatted_s} s  {what}')
 
     def order(self) -> list[str]:
-        """Return the entries, the job's owner first."""
+        """Return the names of the entries, that of the job's owner first."""
         jobs = self._store.table.specs('jobs')
         owner = jobs[JOB]['owner'] if JOB in jobs else ''
         return sorted(self.entries, key=lambda name: (name != owner, name))
@@ -143,32 +150,34 @@
     async def _answer_store(self, _: str, request: HttpRequest) -> HttpResponse:
         return await self._store.handle(request)
 
-    def _started(self, origin: str, item: str) -> None:
+    def _check_item_start(self, origin: str, item: str) -> None:
         now_s = asyncio.get_running_loop().time()
         if self.entries[origin].process.paused:
             self.faults.disturb(origin)
         self.witness.see_start(item, self.faults.calm_since(origin), now_s)
 
-    def _upstreams(self) -> Iterator[Upstream]:
+    def _registered_upstreams(self) -> Iterator[Upstream]:
         for number, (name, engine) in enumerate(self.engines.items()):
-            yield _upstream(
+            yield _build_upstream(
                 name, ENGINES, _ENGINE_PORT + number, engine.version
             )
-        yield _upstream(_SCORER, DESKS, _SCORER_PORT)
+        yield _build_upstream(_SCORER_NAME, DESKS, _SCORER_PORT)
 
 
-def _upstream(name: str, service: str, port: int, version: int = 0) -> Upstream:
+def _build_upstream(
+    name: str, service: str, port: int, version: int = 0
+) -> Upstream:
     versions = {ModelId(MODEL): WeightVersion(version)} if version else {}
     return Upstream(
         upstream=UpstreamId(name),
         registration=RegistrationId(name),
         service=ServiceId(service),
-        address=_at(port),
+        address=_address_at(port),
         zone=ZoneId('here'),
-        slots=_SLOTS,
+        slots=_SLOTS_PER_UPSTREAM,
         versions=versions,
     )
 
 
-def _at(port: int) -> Address:
+def _address_at(port: int) -> Address:
     return Address(ip=IP, port=port)
