--- a/features/lab_model.feature
+++ b/features/lab_model.feature
@@ -1,19 +1,19 @@
 Feature: histories of entries that run a job
 
   Scenario: histories drawn from seeds break no promise
-    Entries are paused, killed and stopped; calls are lost before or after
-    they are done, done seconds later, done twice, refused. What a trainer
-    reads meanwhile is checked answer by answer.
+    Entries are paused, killed and stopped. Calls are lost before or after
+    they are done, done seconds later, done twice, or refused. Each response
+    that the trainer receives meanwhile is checked.
 
     Given the histories of seeds 1 to 120, of 20 steps each
     Then none of them breaks a promise
 
-  Scenario: an entry that adopts a job late does not hide what is listed
-    A trainer hands a job in; its home entry is paused and does not hear of
-    it. Another entry takes the job over and lists results, which are read.
-    The home goes on, hears that it should run the job, and begins with an
-    empty ledger that it takes for complete: it denies a position that was
-    read.
+  Scenario: an entry that adopts a job late does not deny listed results
+    A trainer submits a job. The entry that should own it is paused and is
+    not notified. Another entry takes the job over and lists results, which
+    are read. Failure: the first entry resumes, is notified that it should
+    run the job, and uses an empty ledger as if that were complete. Symptom:
+    it denies a position that was read.
 
     Then this history breaks no promise
       """
@@ -24,11 +24,11 @@
       {"verb":"read","where":2,"count":3,"gap_s":0.05}]}
       """
 
-  Scenario: what is read while a record waits for its turn is left out of it
-    The owner is paused and taken over. It goes on with texts that the other
-    one has listed. A reader makes it read what is in the store; meanwhile a
-    record with the same items waits for its turn, and is stored as it was:
-    its items stand in the store twice.
+  Scenario: a record leaves out results that are listed before its turn
+    The owner is paused and taken over. It resumes with texts that the new
+    owner has listed. A read makes it load the results from the store, while
+    a record of its own with the same items waits to be written. Failure: the
+    record is written unchanged. Symptom: its items are in the store twice.
 
     Then this history breaks no promise
       """
@@ -38,11 +38,11 @@
       "gap_s":2.3},{"verb":"go on","gap_s":1.1}]}
       """
 
-  Scenario: an owner that wakes up lists behind what another one has listed
-    The owner is paused and taken over; its items end at the engines
-    meanwhile. It goes on and lists them under a number that is taken. Were
-    the refusal read as a success, it would show its own results at positions
-    at which the other one has shown others.
+  Scenario: a resumed owner lists its results after those of the new owner
+    The owner is paused and taken over, while its items complete at the
+    engines. It resumes and lists them under a record number that is in use.
+    Failure: it treats the conflict as a success. Symptom: it shows its own
+    results at positions at which the new owner has shown others.
 
     Then this history breaks no promise
       """
@@ -52,10 +52,11 @@
       "gap_s":0.05}]}
       """
 
-  Scenario: an owner that wakes up asks before it denies a position
-    The owner is paused past a takeover. A reader has read at the new owner,
-    comes back to the one that has just gone on, which knows of nothing yet.
-    Not asking the store first, it would deny a position that was read.
+  Scenario: a resumed owner reads the store before it denies a position
+    The owner is paused during a takeover. After it resumes, it does not know
+    of the takeover, while a reader has read at the new owner. Failure: the
+    old owner does not read the store before it responds to this reader.
+    Symptom: it denies a position that was read.
 
     Then this history breaks no promise
       """
--- a/features/steps/lab_model_steps.py
+++ b/features/steps/lab_model_steps.py
@@ -1,4 +1,4 @@
-"""Steps for lab.model."""
+"""Steps for features/lab_model.feature: histories of the model checker."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 @given('the histories of seeds {first:d} to {last:d}, of {steps:d} steps each')
-def seeds(context: Any, first: int, last: int, steps: int) -> None:
+def choose_seeds(context: Any, first: int, last: int, steps: int) -> None:
     context.seeds = range(first, last + 1)
     context.steps = steps
 
 
 @then('none of them breaks a promise')
-def none_breaks(context: Any) -> None:
+def check_seeds(context: Any) -> None:
     seeds = context.seeds
-    found = search_seeds(seeds, context.steps)
-    assert not found.broken, str(found)
-    assert found.histories == len(seeds), found
-    assert found.checked > len(seeds), found
+    summary = search_seeds(seeds, context.steps)
+    assert not summary.broken, str(summary)
+    assert summary.histories == len(seeds), summary
+    assert summary.checked > len(seeds), summary
 
 
 @then('this history breaks no promise')
-def one_history(context: Any) -> None:
+def check_history(context: Any) -> None:
     plan = msgspec.json.decode(str(context.text), type=Plan)
     played = play(plan)
     assert not played.broken, told(played)
--- a/features/steps/tools_mutations_steps.py
+++ b/features/steps/tools_mutations_steps.py
@@ -1,4 +1,4 @@
-"""Steps for tools.mutations and tools.soak_mutations."""
+"""Steps for the mutations of tools.mutations and tools.soak_mutations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @then("every safeguard's code is found once")
-def found_once(_: Any) -> None:
+def check_code_occurs_once(_: Any) -> None:
     for mutation in (*MUTATIONS, *OWNER_MUTATIONS):
         code = (PACKAGE / mutation.path).read_text()
         assert code.count(mutation.text) == 1, mutation
--- a/features/tools_mutations.feature
+++ b/features/tools_mutations.feature
@@ -1,7 +1,8 @@
-Feature: safeguards that are switched off to see whether a test notices
+Feature: mutations that switch off safeguards to check that a test fails
 
-  Scenario: each names a piece of code that is there once
-    A change moves the code of a safeguard. Its entry names code that is not
-    there any more, and the command that tries all of them breaks off.
+  Scenario: the code that each mutation replaces occurs exactly once
+    Guards against a change that moves the code of a safeguard, so that its
+    mutation names code that no longer exists. Failure: the command that runs
+    all mutations aborts.
 
     Then every safeguard's code is found once
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,9 +1,9 @@
-"""Runs the features side by side; ends with ``N passed, N failed``.
+"""Run the features in parallel; the output ends with ``N passed, N failed``.
 
-Each feature file runs in a process of its own, which keeps features from
-sharing state and a whole run short. Scenarios listed in KNOWN-RED.txt (one
-line each: scenario; cause; issue) are run and printed, and do not turn the
-verdict red.
+Each feature file runs in a process of its own, so that features share no state
+and a whole run is short. Scenarios that are listed in KNOWN-RED.txt (one line
+each: scenario; cause; issue) are run and printed, but their failures do not
+make the run fail.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class ScenarioResult(msgspec.Struct, frozen=True):
-    """How one scenario ended; `status` is behave's word for it."""
+    """Result of one scenario; `status` is the name of behave's status."""
 
     location: str
     name: str
@@ -38,24 +38,27 @@
 
 
 class FeatureResult(msgspec.Struct, frozen=True):
-    """What one feature file gave, with behave's output if it broke."""
+    """Results of one feature file."""
 
     path: str
     scenarios: tuple[ScenarioResult, ...]
+    #: Whether behave reported a failure or could not load the file.
     broke: bool
+    #: Output of behave.
     output: str
+    #: Duration of the run.
     took_s: float
 
 
 def run_feature(path: str) -> FeatureResult:
     """Run one feature file in this process."""
-    # Imported here: the parent process only waits.
+    # Imported here, as the parent process does not need behave.
     from behave.configuration import Configuration
     from behave.parser import ParserError
     from behave.runner import Runner
     from behave.step_registry import AmbiguousStep
 
-    began = time.monotonic()
+    began_s = time.monotonic()
     captured = io.StringIO()
     with (
         contextlib.redirect_stdout(captured),
@@ -67,7 +70,7 @@
         try:
             broke = runner.run()
         except (ParserError, AmbiguousStep) as error:
-            # Neither could be handed to the parent process as it is.
+            # Neither exception could be sent to the parent process.
             captured.write(f'{error}\n')
             broke = True
     scenarios = tuple(
@@ -75,22 +78,28 @@
         for feature in runner.features
         for item in feature.walk_scenarios()
     )
-    took_s = time.monotonic() - began
+    took_s = time.monotonic() - began_s
     return FeatureResult(path, scenarios, broke, captured.getvalue(), took_s)
 
 
 def feature_files(arguments: Iterable[str]) -> Iterator[str]:
-    """Yield the feature files below each argument."""
+    """Yield the feature files that the arguments name.
+
+    Parameters
+    ----------
+    arguments
+        Paths of feature files, and of folders with feature files.
+    """
     for argument in arguments:
         path = pathlib.Path(argument)
         if path.is_dir():
-            yield from sorted(str(found) for found in path.glob('*.feature'))
+            yield from sorted(str(file) for file in path.glob('*.feature'))
         else:
             yield argument
 
 
 def run_all(paths: list[str]) -> list[FeatureResult]:
-    """Run every file, as many at a time as there are processors."""
+    """Run the files in parallel, at most one for each processor."""
     workers = min(MOST_PROCESSES, os.cpu_count() or 1, len(paths))
     with ProcessPoolExecutor(
         max_workers=workers,
@@ -98,16 +107,16 @@
         max_tasks_per_child=1,
     ) as pool:
         futures = [pool.submit(run_feature, path) for path in paths]
-        done = []
+        results = []
         for future in as_completed(futures):
-            found = future.result()
-            show(found)
-            done.append(found)
-    return done
+            result = future.result()
+            show(result)
+            results.append(result)
+    return results
 
 
 def show(found: FeatureResult) -> None:
-    """Print one line for a feature, and its output if it broke."""
+    """Print one line for a feature, and its output if it failed."""
     passed = sum(item.status == PASSED for item in found.scenarios)
     print(f'{found.path}: {passed} of {len(found.scenarios)}', flush=True)
     print(f'{found.path}: {found.took_s:.1f} s', file=sys.stderr)
@@ -116,7 +125,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the names of the scenarios that are known to fail."""
+    """Return the names of the scenarios listed in KNOWN-RED.txt."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
@@ -127,31 +136,35 @@
 
 
 def is_green(features: list[FeatureResult]) -> bool:
-    """Print what is red and the closing line; return the verdict."""
-    allowed = known_red()
-    scenarios = [item for found in features for item in found.scenarios]
+    """Print the failed scenarios and the totals; return whether all is green.
+
+    A run is green if at least one scenario passed, and all failed ones are
+    listed in KNOWN-RED.txt.
+    """
+    known_names = known_red()
+    scenarios = [item for feature in features for item in feature.scenarios]
     red = [item for item in scenarios if item.status != PASSED]
     for scenario in red:
-        mark = 'KNOWN RED' if scenario.name in allowed else 'RED'
+        mark = 'KNOWN RED' if scenario.name in known_names else 'RED'
         print(f'{mark}: {scenario.location} {scenario.name}')
-    # A step file that fails to load breaks a run with no red scenario.
+    # If a step file fails to load, behave fails without a failed scenario.
     broken = [
-        found.path
-        for found in features
-        if found.broke
-        and all(item.status == PASSED for item in found.scenarios)
+        feature.path
+        for feature in features
+        if feature.broke
+        and all(item.status == PASSED for item in feature.scenarios)
     ]
     for path in broken:
         print(f'BROKEN: {path}')
     passed = len(scenarios) - len(red)
     failed = len(red) + len(broken)
     print(f'{passed} passed, {failed} failed')
-    unknown = [item for item in red if item.name not in allowed]
+    unknown = [item for item in red if item.name not in known_names]
     return passed > 0 and not unknown and not broken
 
 
 def main() -> int:
-    """Run the features named on the command line, or all."""
+    """Run the features named on the command line, or all features."""
     paths = list(feature_files(sys.argv[1:] or ['features']))
     return 0 if is_green(run_all(paths)) else 1
 
