--- a/lab/model/history.py
+++ b/lab/model/history.py
@@ -58,13 +58,13 @@
         await _play_steps(world)
     finally:
         await world.stop()
-    witness = world.witness
-    if witness.broken:
-        promise, detail = witness.broken[0]
+    checker = world.witness
+    if checker.broken:
+        promise, detail = checker.broken[0]
         world.tell(f'broken: {promise.value}: {detail}')
     assert not failures, failures
     return Played(
-        plan, world.story, witness.broken, witness.checked, loop.time()
+        plan, world.story, checker.broken, checker.checked, loop.time()
     )
 
 
@@ -108,11 +108,11 @@
 
 def _begin_reads(world: World, entry: ModelEntry) -> None:
     """Request all unread bodies, the next results, and the last one again."""
-    trainer, witness = world.trainer, world.witness
-    for item in witness.unread:
-        trainer.begin(trainer.body(entry, witness, item))
-    trainer.begin(trainer.read(entry, witness, 0))
-    trainer.begin(trainer.read(entry, witness, 1))
+    trainer, checker = world.trainer, world.witness
+    for item in checker.unread:
+        trainer.begin(trainer.body(entry, checker, item))
+    trainer.begin(trainer.read(entry, checker, 0))
+    trainer.begin(trainer.read(entry, checker, 1))
 
 
 async def _recover_and_read_all(world: World) -> None:
@@ -145,14 +145,14 @@
 ) -> list[dict[str, Any]]:
     """Read all pages of results at an entry, until a time at the latest."""
     loop = asyncio.get_running_loop()
-    witness = world.witness
+    checker = world.witness
     results: list[dict[str, Any]] = []
-    while len(results) < len(witness.lengths) and loop.time() < until_s:
+    while len(results) < len(checker.lengths) and loop.time() < until_s:
         page = await world.trainer.page(entry, len(results))
         if isinstance(page, dict):
-            witness.see_page(len(results), page, loop.time())
+            checker.see_page(len(results), page, loop.time())
             results.extend(page['results'])
-        if witness.broken or (witness.ended and isinstance(page, dict)):
+        if checker.broken or (checker.ended and isinstance(page, dict)):
             break
         _begin_reads(world, entry)
         await asyncio.sleep(_RETRY_INTERVAL_S)
--- a/lab/model/plans.py
+++ b/lab/model/plans.py
@@ -54,11 +54,17 @@
     HEAL = 'heal'
     #: Sets the fate of the next calls of a kind.
     FATE = 'fate'
+    #: Reads results at an entry.
     READ = 'read'
+    #: Reads the bodies of all items whose results were not read yet.
     BODY = 'body'
+    #: Requests at an entry that the job ends.
     END = 'end'
+    #: Has the engines load new weights.
     VERSION = 'version'
+    #: Breaks all streams from the engines.
     BREAK = 'break'
+    #: Has the next score calls fail.
     SCORE_FAILS = 'score fails'
 
 
@@ -132,17 +138,17 @@
         Verb.SCORE_FAILS: 1,
     }
 )
-#: Every fault, so without `Fate.DONE`.
-_WRITE_FATES: Final = tuple(Fate)[1:]
-_PEER_FATES: Final = tuple(
-    fate for fate in _WRITE_FATES if fate is not Fate.REFUSED
+#: All faults; the first member, `Fate.DONE`, is none.
+_ALL_FAULTS: Final = tuple(Fate)[1:]
+_PEER_FAULTS: Final = tuple(
+    fate for fate in _ALL_FAULTS if fate is not Fate.REFUSED
 )
 #: Faults that are drawn for each kind of call.
-_FATES_BY_CALL: Final[Mapping[CallKind, _Fates]] = MappingProxyType(
+_FAULTS_BY_CALL: Final[Mapping[CallKind, _Fates]] = MappingProxyType(
     {
-        **dict.fromkeys(CallKind, _WRITE_FATES),
+        **dict.fromkeys(CallKind, _ALL_FAULTS),
         CallKind.LOOK: (Fate.LOST, Fate.SLOW, Fate.REFUSED),
-        CallKind.PEER: _PEER_FATES,
+        CallKind.PEER: _PEER_FAULTS,
     }
 )
 #: Fields of a step that only some kinds of step use.
@@ -211,7 +217,7 @@
     choices = {
         'to': rng.randrange(-1, entries),
         'call': call,
-        'fate': rng.choice(_FATES_BY_CALL[call]),
+        'fate': rng.choice(_FAULTS_BY_CALL[call]),
         'count': rng.randint(1, _MAX_STEP_COUNT),
     }
     # Leaves out fields that the step does not use: a printed plan is easier
--- a/lab/model/upstreams.py
+++ b/lab/model/upstreams.py
@@ -20,7 +20,7 @@
 _CHUNK_INTERVAL_S: Final = 0.12
 _SCORE_DURATION_S: Final = 0.02
 _MAX_BODY_BYTES: Final = 100_000
-_STAMP_PREFIX: Final = 'proof of '
+_PROOF_PREFIX: Final = 'proof of '
 
 
 class ModelEngine:
@@ -161,7 +161,7 @@
 
 def proof_of(request_id: str) -> str:
     """Return the stamp which proves that a response answers a request."""
-    return f'{_STAMP_PREFIX}{request_id}'
+    return f'{_PROOF_PREFIX}{request_id}'
 
 
 def text_line(item: str, number: int, version: int) -> str:
