--- a/features/lab_help.feature
+++ b/features/lab_help.feature
@@ -1,11 +1,11 @@
-Feature: help of the laboratory's commands
+Feature: help of the lab commands
 
-  Scenario Outline: each command tells what it does, with an example
-    A newcomer asks a command for help. It described another command, listed
-    the flags of all of them, and ended as if it had failed.
+  Scenario Outline: the help of a command shows its own example and flags
+    Failure: the help of a command describes another command, lists the flags
+    of all commands, and ends with the exit code of a failure.
 
     Given the help of <words>
-    Then it ends well, shows <example> and not <other>
+    Then it succeeds, shows <example> and not <other>
 
     Examples:
       | words           | example                   | other     |
--- a/features/steps/lab_experiment_steps.py
+++ b/features/steps/lab_experiment_steps.py
@@ -1,4 +1,4 @@
-"""Steps for lab.experiment, lab.report and lab.scenario."""
+"""Steps for experiments, their reports and their scenario files."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from lab.scenario import Scenario, load_scenario
 
 SEED = 1
-CHANGED = 'bergamotdoor.jobs.progress._LEAST_RATIO'
+CHANGED_CONSTANT = 'bergamotdoor.jobs.progress._LEAST_RATIO'
 
 
 @given('a load in which an engine turns slow at {slow_at_s:d} s')
-def load(context: Any, slow_at_s: int) -> None:
+def define_load(context: Any, slow_at_s: int) -> None:
     context.load = Scenario(
         name='moves',
         duration_s=12,
@@ -32,11 +32,11 @@
     )
 
 
-@when('it is played with items that may move, and with items that stay')
-def both(context: Any) -> None:
+@when('it is run with items that may move, and with items that stay')
+def run_both(context: Any) -> None:
     context.ratio = progress._LEAST_RATIO
     stays = msgspec.structs.replace(
-        context.load, name='stays', changes={CHANGED: 1000}
+        context.load, name='stays', changes={CHANGED_CONSTANT: 1000}
     )
     context.measured = [
         run_scenario(context.load, SEED),
@@ -45,37 +45,40 @@
 
 
 @then('steps with items that may move are at least a quarter faster')
-def faster(context: Any) -> None:
-    moves, stays = (statistics.fmean(one.steps_s) for one in context.measured)
-    assert moves < stays * 0.75, (moves, stays)
+def is_faster(context: Any) -> None:
+    moves_s, stays_s = (
+        statistics.fmean(measurement.steps_s)
+        for measurement in context.measured
+    )
+    assert moves_s < stays_s * 0.75, (moves_s, stays_s)
 
 
-@then('what was changed for the one is as before for the other')
-def restored(context: Any) -> None:
+@then('the changed constant has its previous value again')
+def is_restored(context: Any) -> None:
     assert progress._LEAST_RATIO == context.ratio
 
 
 @then('two runs of one seed measure the same')
-def same(context: Any) -> None:
+def measures_same(context: Any) -> None:
     first, second = (run_scenario(context.load, SEED) for _ in range(2))
     assert first.steps_s == second.steps_s, (first.steps_s, second.steps_s)
     assert first.calls_ms == second.calls_ms
 
 
-@then('its report names both in JSON and HTML')
-def report(context: Any) -> None:
+@then('its report names both scenarios in JSON and HTML')
+def report_names_both(context: Any) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder)
         write_report(path, context.measured)
         page = (path / 'report.html').read_text()
-        written = (path / 'measured.json').read_text()
+        measured = (path / 'measured.json').read_text()
     for name in ('moves', 'stays'):
         assert name in page
-        assert name in written
+        assert name in measured
 
 
-@then('the scenario file {text} is refused, naming {field}')
-def refused(_: Any, text: str, field: str) -> None:
+@then('the scenario file {text} is rejected with an error that names {field}')
+def is_rejected(_: Any, text: str, field: str) -> None:
     with tempfile.NamedTemporaryFile('w') as file:
         file.write(text)
         file.flush()
--- a/features/steps/lab_help_steps.py
+++ b/features/steps/lab_help_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the help of the laboratory's commands."""
+"""Steps for the help of the lab commands."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @given('the help of {words}')
-def asked_for_help(context: Any, words: str) -> None:
+def run_help(context: Any, words: str) -> None:
     context.done = subprocess.run(
         (sys.executable, '-m', 'lab', *words.split()),
         capture_output=True,
@@ -19,8 +19,8 @@
     )
 
 
-@then('it ends well, shows {example} and not {other}')
-def told(context: Any, example: str, other: str) -> None:
+@then('it succeeds, shows {example} and not {other}')
+def shows_help(context: Any, example: str, other: str) -> None:
     assert context.done.returncode == 0, context.done
     assert example in context.done.stdout, context.done.stdout
     assert other not in context.done.stdout, context.done.stdout
--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,6 +1,7 @@
-"""Models of what stands around bergamotdoor, and tools that use them.
+"""Models of the systems around bergamotdoor, and tools that use them.
 
-Store, engines, plain services, trainers and callers that speak the
-platform's protocol from the other side, so that a whole deployment runs on
-one machine: in the tests, in the demonstration and under the fault soak.
+The models of the store, engines, plain services, trainers and callers
+implement the other side of the platform's protocol, so that a whole
+deployment runs on one machine. The tests, the demo and the fault soak use
+them.
 """
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m lab soak``, ``demo``, ``experiment`` and ``model``."""
+"""The commands of ``python -m lab``: soak, demo, experiment, model."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 _EXPERIMENT: Final = 'experiment'
 _MODEL: Final = 'model'
-_USUAL_S: Final = 12
-_KINDS: Final = MappingProxyType(
+_DEFAULT_FAULT_S: Final = 12
+_FAULT_SETS: Final = MappingProxyType(
     {
         'all': (*RANDOM, *AIMED),
         'random': RANDOM,
@@ -42,7 +42,10 @@
     'seeds', '1-4', 'Seeds to play, such as 3, 1-50 or 2,5,9.'
 )
 _SECONDS: Final = flags.DEFINE_float(
-    'seconds', _USUAL_S, 'How long faults come in each run.', lower_bound=0
+    'seconds',
+    _DEFAULT_FAULT_S,
+    'How long faults come in each run.',
+    lower_bound=0,
 )
 _JOBS: Final = flags.DEFINE_integer(
     'jobs', 4, 'How many runs go beside each other.', lower_bound=1
@@ -52,15 +55,15 @@
 _SERVICES: Final = flags.DEFINE_integer('services', 2, 'Services of a run.')
 _GROUPS: Final = flags.DEFINE_integer('groups', 3, 'Groups of a step.')
 _FAULTS: Final = flags.DEFINE_enum(
-    'faults', 'all', list(_KINDS), 'Which faults are drawn.'
+    'faults', 'all', list(_FAULT_SETS), 'Which faults are drawn.'
 )
 _OUT: Final = flags.DEFINE_string(
     'out', '', 'Folder for the report of an experiment.'
 )
-_USUAL_STEPS: Final = 20
+_DEFAULT_STEPS: Final = 20
 _STEPS: Final = flags.DEFINE_integer(
     'steps',
-    _USUAL_STEPS,
+    _DEFAULT_STEPS,
     'Steps of each history that the model plays.',
     lower_bound=1,
 )
@@ -71,49 +74,64 @@
 
 
 def main(words: list[str]) -> int:
-    """Play the soak or the tour; the exit code tells if a promise broke."""
+    """Run the command that the arguments name.
+
+    Parameters
+    ----------
+    words
+        The command line, from the program's name on.
+
+    Returns
+    -------
+    int
+        The exit code: 1 if a promise was broken or a scenario file is
+        invalid, 2 if the arguments are wrong, otherwise 0.
+    """
     command, *files = words[1:] or ('',)
     if command not in COMMANDS or bool(files) != (command == _EXPERIMENT):
         sys.stderr.write(f'{help_of(words)}\n')
         return 2
-    # The models log like the product; here only what they see counts.
+    # The models use code of the product, which logs. The commands print
+    # only what a run has found.
     logging.getLogger('bergamotdoor').setLevel(logging.CRITICAL)
     if command == _EXPERIMENT:
-        return _experiment(files)
+        return _run_experiment(files)
     if command == _MODEL:
-        return _model()
+        return _run_model()
     if command == 'demo':
-        return _show(asyncio.run(demo(_seed(), _size())))
-    outcomes = asyncio.run(_soak(tuple(_seeds(_SEEDS.value))))
+        return _print_demo(asyncio.run(demo(_first_seed(), _deployment_size())))
+    outcomes = asyncio.run(_run_soak(tuple(_parse_seeds(_SEEDS.value))))
     if _JSON.value:
         written = msgspec.json.format(msgspec.json.encode(outcomes))
         pathlib.Path(_JSON.value).write_bytes(written)
-    return _summarize(outcomes)
+    return _print_summary(outcomes)
 
 
-async def _soak(seeds: tuple[int, ...]) -> list[Outcome]:
-    room = asyncio.Semaphore(_JOBS.value)
-    return list(await asyncio.gather(*(_one(seed, room) for seed in seeds)))
+async def _run_soak(seeds: tuple[int, ...]) -> list[Outcome]:
+    slots = asyncio.Semaphore(_JOBS.value)
+    return list(
+        await asyncio.gather(*(_run_seed(seed, slots) for seed in seeds))
+    )
 
 
-async def _one(seed: int, room: asyncio.Semaphore) -> Outcome:
-    async with room:
+async def _run_seed(seed: int, slots: asyncio.Semaphore) -> Outcome:
+    async with slots:
         outcome = await soak(
-            seed, _SECONDS.value, _size(), _KINDS[_FAULTS.value]
+            seed, _SECONDS.value, _deployment_size(), _FAULT_SETS[_FAULTS.value]
         )
-    print(_line(outcome), flush=True)
+    print(_format_outcome(outcome), flush=True)
     return outcome
 
 
-def _experiment(files: list[str]) -> int:
-    """Play scenarios over the seeds and compare them."""
+def _run_experiment(files: list[str]) -> int:
+    """Run each scenario with each seed and print a comparison."""
     try:
         scenarios = [load_scenario(path) for path in files]
     except SettingsError as error:
         sys.stderr.write(f'{error}\n')
         return 1
     measured = []
-    for seed in _seeds(_SEEDS.value):
+    for seed in _parse_seeds(_SEEDS.value):
         for scenario in scenarios:
             measured.append(run_scenario(scenario, seed))
             print(f'seed {seed}: {scenario.name} played', flush=True)
@@ -123,57 +141,57 @@
     return 0
 
 
-def _model() -> int:
-    """Play histories and tell those that broke a promise."""
+def _run_model() -> int:
+    """Check histories of the model; print those that broke a promise."""
     if _DEPTH.value:
         found = search_small(_DEPTH.value, _JOBS.value)
     else:
-        seeds = tuple(_seeds(_SEEDS.value))
+        seeds = tuple(_parse_seeds(_SEEDS.value))
         found = search_seeds(seeds, _STEPS.value, _JOBS.value)
     print(found)
     return 1 if found.broken else 0
 
 
-def _size() -> Size:
+def _deployment_size() -> Size:
     return Size(_ENTRIES.value, _ENGINES.value, _SERVICES.value, _GROUPS.value)
 
 
-def _seed() -> int:
-    return next(_seeds(_SEEDS.value))
+def _first_seed() -> int:
+    return next(_parse_seeds(_SEEDS.value))
 
 
-def _show(outcome: Outcome) -> int:
+def _print_demo(outcome: Outcome) -> int:
     print(f'{outcome.calls} calls answered, {outcome.steps} steps trained')
     print(outcome.report)
     return 1 if outcome.broken else 0
 
 
-def _line(outcome: Outcome) -> str:
+def _format_outcome(outcome: Outcome) -> str:
     broken = ''.join(f'\n  {line}' for line in outcome.broken)
-    kept = f', logs in {outcome.folder}' if broken else ''
+    log_note = f', logs in {outcome.folder}' if broken else ''
     return (
         f'seed {outcome.seed}: {outcome.seconds} s, {outcome.calls} calls, '
         f'{outcome.steps} steps, {sum(outcome.faults.values())} faults, '
-        f'{len(outcome.broken)} broken{kept}{broken}'
+        f'{len(outcome.broken)} broken{log_note}{broken}'
     )
 
 
-def _summarize(outcomes: list[Outcome]) -> int:
+def _print_summary(outcomes: list[Outcome]) -> int:
     broken = sum(len(outcome.broken) for outcome in outcomes)
     checked = sum(sum(outcome.checked.values()) for outcome in outcomes)
     print(f'{len(outcomes)} seeds, {checked} checks, {broken} broken')
     return 1 if broken else 0
 
 
-def _seeds(text: str) -> Iterator[int]:
+def _parse_seeds(text: str) -> Iterator[int]:
     for part in text.split(','):
         first, _, last = part.partition('-')
         yield from range(int(first), int(last or first) + 1)
 
 
 if __name__ == '__main__':
-    # The library's own help lists the flags of all commands and ends as if
-    # it had failed.
+    # The help of absl lists the flags of all commands and ends with the
+    # exit code of a failure.
     if help_wanted(sys.argv[1:]):
         sys.exit(print(help_of(sys.argv[1:])))
     app.run(main)
--- a/lab/aimed_faults.py
+++ b/lab/aimed_faults.py
@@ -1,8 +1,9 @@
-"""Faults aimed at a step's owner just after it has listed results.
+"""Faults aimed at the owner of a job just after it has listed results.
 
-Failure: two entries run one step, both believing it theirs. Symptom: a
-position reads otherwise at another entry, or an item has no body. It takes
-an owner that lives, is taken for gone and goes on where it was.
+Failure: two entries run one job, and each acts as its owner. Symptom: a
+position has another result at another entry, or an item has no body. This
+needs an owner that is alive, is taken over as if it had ended, and then
+continues where it was.
 """
 
 from __future__ import annotations
@@ -23,32 +24,34 @@
     from lab.process_faults import ProcessFaults
     from lab.processes import ProductProcess
 
-_LOOK_S: Final = 0.01
-#: How long a record is waited for, and one by the next owner.
-_RECORD_S: Final = 2
-_TAKEOVER_S: Final = 6
-#: How long two entries have a job, and a listing of all jobs takes then.
-_BOTH_S: Final = 2
-_LISTING_S: Final = (1, 4)
-_MOST_LATE: Final = 2
-#: Pauses between planned stops, and how long the store's calls take.
-_STOPS_S: Final = (0.05, 0.4)
-_SLOW_S: Final = (0.2, 0.6)
-_STORE_CUT_SHARE: Final = 0.3
-_LINKS: Final = (Link.SILENT, Link.ONE_WAY, Link.CUT)
+_POLL_INTERVAL_S: Final = 0.01
+#: How long to wait for listed results, and for those of the next owner.
+_RESULT_TIMEOUT_S: Final = 2
+_TAKEOVER_TIMEOUT_S: Final = 6
+#: How long two entries act as owner of a job, and the range of the time that
+#: a listing of all jobs takes meanwhile.
+_TWO_OWNERS_S: Final = 2
+_LISTING_DELAY_RANGE_S: Final = (1, 4)
+_MAX_DELAYED_WRITES: Final = 2
+#: Range of the pauses between graceful stops, and range of the time that each
+#: call of the store takes meanwhile.
+_STOP_PAUSE_RANGE_S: Final = (0.05, 0.4)
+_RESPONSE_DELAY_RANGE_S: Final = (0.2, 0.6)
+_STORE_CUT_PROBABILITY: Final = 0.3
+_LINK_FAULTS: Final = (Link.SILENT, Link.ONE_WAY, Link.CUT)
 
 
 class AimedFaults:
-    """Takes the owner of an open step away and lets it come back.
+    """Faults that take an owner away from a job and let it return.
 
     Parameters
     ----------
     deployment
-        What is harmed.
+        The deployment to which the faults are applied.
     processes
-        Knows which processes are there.
+        Faults of processes, which reserve a process for one fault at a time.
     rng
-        Draws how, and how long.
+        The random source for manners and durations.
     """
 
     def __init__(
@@ -64,94 +67,102 @@
         self._rng = rng
 
     async def pause_owner(self) -> None:
-        """Pause a step's owner past its takeover, and wake it."""
-        job = await self._job_at_work()
-        owner = self._owner(job)
+        """Pause a job's owner until after the takeover, then resume it."""
+        job = await self._wait_for_active_job()
+        owner = self._find_running_owner(job)
         if owner is None or not self._processes.take(owner):
             return
         self._delay_writes()
         self._slow_listings()
         owner.send(signal.SIGSTOP)
-        await self._taken_over(job, owner)
+        await self._wait_for_takeover(job, owner)
         owner.send(signal.SIGCONT)
-        await self._both_at_work()
+        await self._run_both_owners()
         self._processes.give_back(owner)
 
     async def cut_owner(self) -> None:
-        """Cut a step's owner off from other entries past its takeover."""
-        job = await self._job_at_work()
-        owner = self._owner(job)
+        """Cut a job's owner off from other entries until the takeover."""
+        job = await self._wait_for_active_job()
+        owner = self._find_running_owner(job)
         if owner is None:
             return
         entries = [entry.name for entry in self._deployment.entries]
         to_owner = self._deployment.ways_between(entries, {owner.name})
-        of_owner = self._deployment.ways_between({owner.name}, entries)
-        ways = to_owner + self._rng.choice(([], of_owner))
-        if self._rng.random() < _STORE_CUT_SHARE:
-            ways.append(self._deployment.ways[owner.name, STORE])
+        from_owner = self._deployment.ways_between({owner.name}, entries)
+        proxies = to_owner + self._rng.choice(([], from_owner))
+        if self._rng.random() < _STORE_CUT_PROBABILITY:
+            proxies.append(self._deployment.ways[owner.name, STORE])
         self._delay_writes()
         self._slow_listings()
-        link = self._rng.choice(_LINKS)
-        for way in ways:
-            way.use(link)
-        await self._taken_over(job, owner)
-        for way in ways:
-            way.use(Link.OPEN)
-        await self._both_at_work()
+        link = self._rng.choice(_LINK_FAULTS)
+        for proxy in proxies:
+            proxy.use(link)
+        await self._wait_for_takeover(job, owner)
+        for proxy in proxies:
+            proxy.use(Link.OPEN)
+        await self._run_both_owners()
 
     async def stop_series(self) -> None:
-        """Stop a step's owners as planned, one soon after the other."""
-        job = await self._job_at_work()
-        self._store.answer_s = self._rng.uniform(*_SLOW_S)
+        """Stop the owners of a job gracefully, one shortly after another."""
+        job = await self._wait_for_active_job()
+        self._store.answer_s = self._rng.uniform(*_RESPONSE_DELAY_RANGE_S)
         async with asyncio.TaskGroup() as group:
             for _ in self._deployment.entries[1:]:
-                group.create_task(self._processes.stop_first(self._order(job)))
-                await asyncio.sleep(self._rng.uniform(*_STOPS_S))
+                group.create_task(
+                    self._processes.stop_first(self._entries_owner_first(job))
+                )
+                await asyncio.sleep(self._rng.uniform(*_STOP_PAUSE_RANGE_S))
         self._store.answer_s = ANSWER_S
 
-    def _order(self, job: str) -> list[ProductProcess]:
-        """Return the entries, a step's owner first."""
+    def _entries_owner_first(self, job: str) -> list[ProductProcess]:
+        """Return the entries in random order, but a job's owner first."""
         entries = self._rng.sample(
             self._deployment.entries, len(self._deployment.entries)
         )
-        owner = self._owner(job)
+        owner = self._find_running_owner(job)
         return sorted(entries, key=lambda entry: entry is not owner)
 
-    def _owner(self, job: str) -> ProductProcess | None:
-        """Return the entry that the store names as owner, if it is there."""
+    def _find_running_owner(self, job: str) -> ProductProcess | None:
+        """Return the owner that the store names, if it is running."""
         name = self._steps.owner(job) if job else ''
-        named = (one for one in self._deployment.entries if one.name == name)
+        named = (
+            entry for entry in self._deployment.entries if entry.name == name
+        )
         entry = next(named, None)
         return entry if entry is not None and entry.running else None
 
-    async def _job_at_work(self) -> str:
-        """Wait for results of an open step, not for ever."""
+    async def _wait_for_active_job(self) -> str:
+        """Return an open job once new results of it are listed.
+
+        If none are listed within `_RESULT_TIMEOUT_S`, return any open job,
+        or an empty string if no job is open.
+        """
         steps = self._steps
         before = {job: len(steps.listed(job)) for job in steps.open_jobs()}
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_RECORD_S):
+            async with asyncio.timeout(_RESULT_TIMEOUT_S):
                 while not steps.grown_job(before):
-                    await asyncio.sleep(_LOOK_S)
+                    await asyncio.sleep(_POLL_INTERVAL_S)
         return steps.grown_job(before) or next(iter(steps.open_jobs()), '')
 
-    async def _taken_over(self, job: str, owner: ProductProcess) -> None:
-        """Wait until another one has the job and lists results of it."""
+    async def _wait_for_takeover(self, job: str, owner: ProductProcess) -> None:
+        """Wait until another entry owns the job and lists results of it."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_TAKEOVER_S):
+            async with asyncio.timeout(_TAKEOVER_TIMEOUT_S):
                 while self._steps.owner(job) == owner.name:
-                    await asyncio.sleep(_LOOK_S)
+                    await asyncio.sleep(_POLL_INTERVAL_S)
                 before = self._steps.listed(job)
                 while self._steps.listed(job) == before:
-                    await asyncio.sleep(_LOOK_S)
+                    await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def _both_at_work(self) -> None:
+    async def _run_both_owners(self) -> None:
         self._delay_writes()
-        await asyncio.sleep(_BOTH_S)
+        await asyncio.sleep(_TWO_OWNERS_S)
         self._store.kind_s.clear()
 
     def _slow_listings(self) -> None:
-        # An owner sees in a listing of all jobs what it has lost.
-        self._store.kind_s['jobs'] = self._rng.uniform(*_LISTING_S)
+        # An entry learns from a listing of all jobs that it has lost one.
+        self._store.kind_s['jobs'] = self._rng.uniform(*_LISTING_DELAY_RANGE_S)
 
     def _delay_writes(self) -> None:
-        self._store.delay_writes += self._rng.randint(0, _MOST_LATE)
+        self._store.delay_writes += self._rng.randint(0, _MAX_DELAYED_WRITES)
--- a/lab/callers.py
+++ b/lab/callers.py
@@ -1,4 +1,4 @@
-"""Callers that send plain requests and check what they get."""
+"""Callers that send plain requests and check the responses."""
 
 from __future__ import annotations
 
@@ -17,22 +17,23 @@
     from lab.deployment import Deployment
     from lab.processes import ProductProcess
 
-_PAUSE_S: Final = 0.05
-#: One call in so many is unsafe.
+_CALL_PAUSE_S: Final = 0.05
+#: The share of calls that are not idempotent.
 _UNSAFE_SHARE: Final = 0.4
 
 
 class Callers:
-    """Sends calls to all entries, one after another on each.
+    """Callers of all entries; each entry gets one call at a time.
 
     Parameters
     ----------
     deployment
-        Where the entries are, and what ran.
+        The deployment with the entries, and with the services, which record
+        the requests that they ran.
     promises
-        Takes what was seen.
+        The collector of checks.
     rng
-        Draws the kinds of calls.
+        The random source for the kinds of calls.
     """
 
     def __init__(
@@ -42,56 +43,58 @@
         self._promises = promises
         self._rng = rng
         self._client = new_client()
-        self._sent = 0
-        #: Requests that were refused as not run.
-        self._refused: set[str] = set()
-        #: Requests that may run once.
-        self._unsafe: set[str] = set()
+        self._sent_count = 0
+        #: Requests that were refused with the statement that they did not
+        #: run.
+        self._refused_requests: set[str] = set()
+        #: Requests that may run at most once.
+        self._unsafe_requests: set[str] = set()
+        #: The number of responses with status 200.
         self.answered = 0
 
     async def run(self) -> None:
-        """Call until cancelled."""
+        """Send calls until cancelled."""
         async with asyncio.TaskGroup() as group:
             for entry in self._deployment.entries:
-                group.create_task(self._call_often(entry))
+                group.create_task(self._call_repeatedly(entry))
 
     async def close(self) -> None:
-        """Close the connections and check what ran."""
+        """Close the connections and check which requests ran."""
         await self._client.close()
         ran: dict[str, int] = {}
         for service in self._deployment.services:
-            for seen in service.seen:
-                ran[seen.request] = ran.get(seen.request, 0) + 1
-        for request in self._refused:
+            for seen_request in service.seen:
+                ran[seen_request.request] = ran.get(seen_request.request, 0) + 1
+        for request in self._refused_requests:
             self._promises.check(
                 Promise.REFUSED, request not in ran, f'{request} ran'
             )
-        for request in self._unsafe:
+        for request in self._unsafe_requests:
             times = ran.get(request, 0)
             self._promises.check(
                 Promise.ONCE, times <= 1, f'{request} ran {times} times'
             )
 
-    async def _call_often(self, entry: ProductProcess) -> None:
+    async def _call_repeatedly(self, entry: ProductProcess) -> None:
         while True:
             if entry.running:
-                await self._call(entry)
-            await asyncio.sleep(_PAUSE_S)
+                await self._send_call(entry)
+            await asyncio.sleep(_CALL_PAUSE_S)
 
-    async def _call(self, entry: ProductProcess) -> None:
-        self._sent += 1
-        request = f'call-{self._sent}'
+    async def _send_call(self, entry: ProductProcess) -> None:
+        self._sent_count += 1
+        request = f'call-{self._sent_count}'
         unsafe = self._rng.random() < _UNSAFE_SHARE
         prefix = UNSAFE_PATH if unsafe else SAFE_PATH
         path = f'{prefix}{request}'
         if unsafe:
-            self._unsafe.add(request)
+            self._unsafe_requests.add(request)
         call = Call('POST', path, request.encode(), ((REQUEST_ID, request),))
         reply = await self._client.send(entry.front, call)
         if reply is not None:
-            self._take(request, path, reply)
+            self._check_reply(request, path, reply)
 
-    def _take(self, request: str, path: str, reply: Reply) -> None:
+    def _check_reply(self, request: str, path: str, reply: Reply) -> None:
         if reply.status == HTTPStatus.OK:
             self.answered += 1
             own = f' ran {path} {len(request)}'.encode()
@@ -101,4 +104,4 @@
                 Promise.WHOLE, whole, f'{request}: {reply.body!r}'
             )
         elif reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            self._refused.add(request)
+            self._refused_requests.add(request)
--- a/lab/client.py
+++ b/lab/client.py
@@ -1,4 +1,4 @@
-"""Calls of clients, over the product's own HTTP client."""
+"""A client of entries and processes, on the product's HTTP client."""
 
 from __future__ import annotations
 
@@ -18,24 +18,25 @@
     from bergamotdoor.clock import Clock
     from bergamotdoor.settings.document import Address
 
-_TIMEOUT: Final = dt.timedelta(seconds=4)
-_MAX_BYTES: Final = 20_000_000
+_DEFAULT_TIMEOUT: Final = dt.timedelta(seconds=4)
+_MAX_BODY_BYTES: Final = 20_000_000
 
 
 class Call(NamedTuple):
-    """What a client sends."""
+    """A request of a client."""
 
     method: str
     path: str
     body: bytes = b''
     headers: tuple[tuple[str, str], ...] = ()
-    timeout: dt.timedelta = _TIMEOUT
-    #: Whether it may go on a kept connection that was not proved alive.
+    timeout: dt.timedelta = _DEFAULT_TIMEOUT
+    #: Whether it may be sent on a pooled connection that is not proven to be
+    #: alive.
     idempotent: bool = False
 
 
 class Reply(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -43,19 +44,19 @@
 
     @property
     def json(self) -> Any:
-        """The body, decoded."""
+        """The body, decoded from JSON."""
         return json.loads(self.body)
 
 
 class Client:
-    """Sends calls on connections that it keeps.
+    """An HTTP client that keeps its connections open.
 
     Parameters
     ----------
     clock
-        For timeouts.
+        The clock that measures timeouts.
     host
-        The host that all calls name.
+        The value of the host header of all calls.
     """
 
     def __init__(self, clock: Clock, host: str) -> None:
@@ -63,7 +64,7 @@
         self._host = host
 
     async def send(self, address: Address, call: Call) -> Reply | None:
-        """Return the whole answer, None if there is none."""
+        """Return the response, ``None`` if no complete one arrived."""
         response = await self._client.send(
             ClientRequest(
                 address=address,
@@ -78,7 +79,7 @@
         if not isinstance(response, ClientResponse):
             return None
         try:
-            body = await response.read_body(_MAX_BYTES)
+            body = await response.read_body(_MAX_BODY_BYTES)
         except BodyBrokenError:
             return None
         return Reply(response.status, response.headers, body)
--- a/lab/crash_faults.py
+++ b/lab/crash_faults.py
@@ -1,7 +1,7 @@
-"""A request that ends each service that runs it, and comes again.
+"""A request that crashes each service that runs it and is sent repeatedly.
 
-Failure: it is sent on and on, by entries that were killed, paused or cut off
-meanwhile. Symptom: a service is lost to all callers, over and over.
+Failure: entries forward it again and again, because they were killed, paused
+or cut off in the meantime. Symptom: all callers lose a service repeatedly.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
     from lab.promises import Promises
     from lab.upstreams import Seen, Upstream
 
-#: How often the request comes, and the pauses in between.
-_ARRIVALS: Final = 10
-_PAUSES_S: Final = (0.1, 0.6, 1.2)
-#: How long a service is away.
-_DOWN_S: Final = (0.5, 1.5)
-#: So many services may end under a request, and it may reach others so
-#: often afterwards.
-_FREE_ENDS: Final = 3
-_MOST_RETRIES: Final = 3
+#: How often the request is sent, and the pauses in between.
+_SEND_COUNT: Final = 10
+_SEND_PAUSES_S: Final = (0.1, 0.6, 1.2)
+#: Range of the time that a crashed service is down.
+_DOWNTIME_RANGE_S: Final = (0.5, 1.5)
+#: How many crashes of services a request may cause before it is held back,
+#: and how many more requests may reach a service afterwards.
+_ALLOWED_CRASHES: Final = 3
+_MAX_LATER_REQUESTS: Final = 3
 
 
 class CrashFaults:
-    """Sends requests under which services end, and counts whom they reach."""
+    """Requests that crash services, with a check of how many they reach."""
 
     def __init__(
         self,
@@ -46,60 +46,63 @@
         self._deployment = deployment
         self._promises = promises
         self._rng = rng
-        self._requests = 0
+        self._target_count = 0
 
     async def send(self) -> None:
-        """Send one such request again and again, to any entry."""
-        self._requests += 1
-        target = f'{SAFE_PATH}ends-{self._requests}'
+        """Repeatedly send one new crashing request, each time to any entry."""
+        self._target_count += 1
+        target = f'{SAFE_PATH}ends-{self._target_count}'
         for service in self._deployment.services:
-            self._prepare(service, target)
+            self._crash_service_on(service, target)
         client = new_client()
-        for number in range(_ARRIVALS):
+        for number in range(_SEND_COUNT):
             entry = self._rng.choice(self._deployment.entries)
             if entry.running:
-                await _arrive(client, entry, target, number)
-            await asyncio.sleep(self._rng.choice(_PAUSES_S))
+                await _send_request(client, entry, target, number)
+            await asyncio.sleep(self._rng.choice(_SEND_PAUSES_S))
         await client.close()
-        self._check(target)
+        self._check_spared(target)
 
-    def _prepare(self, service: Upstream, target: str) -> None:
+    def _crash_service_on(self, service: Upstream, target: str) -> None:
         crashes = service.crashes
         crashes.targets.add(target)
-        crashes.down_s = self._rng.uniform(*_DOWN_S)
-        # Nobody listens at its address, which is that of its proxy.
-        crashes.ended = functools.partial(self._refuse, service)
-        crashes.started_again = functools.partial(self._accept, service)
+        crashes.down_s = self._rng.uniform(*_DOWNTIME_RANGE_S)
+        # A crashed service refuses connections. Its proxy does that for it,
+        # since the service is registered with the address of the proxy.
+        crashes.ended = functools.partial(self._stop_listening, service)
+        crashes.started_again = functools.partial(self._listen_again, service)
 
-    def _refuse(self, service: Upstream) -> None:
+    def _stop_listening(self, service: Upstream) -> None:
         self._deployment.ways['', service.name].refuse()
 
-    def _accept(self, service: Upstream) -> None:
+    def _listen_again(self, service: Upstream) -> None:
         self._deployment.ways['', service.name].accept_again()
 
-    def _check(self, target: str) -> None:
-        seen = sorted(
+    def _check_spared(self, target: str) -> None:
+        received = sorted(
             (
-                one
+                seen_request
                 for service in self._deployment.services
-                for one in service.seen
-                if one.target == target
+                for seen_request in service.seen
+                if seen_request.target == target
             ),
-            key=_at,
+            key=_receive_time_s,
         )
-        late = {one.request for one in seen[_FREE_ENDS:]}
+        later_ids = {
+            seen_request.request for seen_request in received[_ALLOWED_CRASHES:]
+        }
         self._promises.check(
             Promise.SPARED,
-            len(late) <= _MOST_RETRIES,
-            f'{target}: {len(seen)} ended, {len(late)} later attempts',
+            len(later_ids) <= _MAX_LATER_REQUESTS,
+            f'{target}: {len(received)} ended, {len(later_ids)} later attempts',
         )
 
 
-def _at(seen: Seen) -> float:
-    return seen.at_s
+def _receive_time_s(seen_request: Seen) -> float:
+    return seen_request.at_s
 
 
-async def _arrive(
+async def _send_request(
     client: Client, entry: ProductProcess, target: str, number: int
 ) -> None:
     request = f'{target}-{number}'
--- a/lab/crashes.py
+++ b/lab/crashes.py
@@ -1,4 +1,4 @@
-"""Upstreams that end under requests."""
+"""Crashes of upstreams, each caused by a request."""
 
 from __future__ import annotations
 
@@ -10,39 +10,41 @@
 
     from lab.upstreams import Upstream
 
-#: How long an upstream is away, unless a run says otherwise.
-_DOWN_S: Final = 2
+#: How long a crashed upstream is down, unless a test or fault sets another
+#: time.
+_DEFAULT_DOWNTIME_S: Final = 2
 
 
 class Crashes:
-    """Requests under which an upstream ends, with all that it runs."""
+    """Requests that crash an upstream, which ends all its other requests."""
 
     def __init__(self) -> None:
         self.targets: set[str] = set()
         self.bodies: set[bytes] = set()
-        #: How often it ended, and how long it is away each time.
+        #: How often the upstream has crashed, and how long it is down each
+        #: time.
         self.count = 0
-        self.down_s: float = _DOWN_S
-        #: Called when it ends, and once it has started again.
+        self.down_s: float = _DEFAULT_DOWNTIME_S
+        #: Called when the upstream crashes, and once it has restarted.
         self.ended: Callable[[], None] | None = None
         self.started_again: Callable[[], None] | None = None
-        self._ending: asyncio.Task[None] | None = None
+        self._restart_task: asyncio.Task[None] | None = None
 
     def matches(self, target: str, body: bytes) -> bool:
-        """Return whether the upstream ends under a request."""
+        """Return whether a request crashes the upstream."""
         return target in self.targets or body in self.bodies
 
     def begin(self, upstream: Upstream) -> None:
-        """Have the upstream end: nobody is told, and nobody listens."""
-        if self._ending is not None and not self._ending.done():
-            # Under another request at the same moment.
+        """Crash the upstream: it notifies nobody and stops listening."""
+        if self._restart_task is not None and not self._restart_task.done():
+            # Another request has just crashed it.
             return
         self.count += 1
         if self.ended is not None:
             self.ended()
-        self._ending = asyncio.create_task(self._run(upstream))
+        self._restart_task = asyncio.create_task(self._restart(upstream))
 
-    async def _run(self, upstream: Upstream) -> None:
+    async def _restart(self, upstream: Upstream) -> None:
         await upstream.restart(self.down_s)
         if self.started_again is not None:
             self.started_again()
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -1,4 +1,4 @@
-"""A short tour: a deployment at work while things go wrong in turn."""
+"""A demo: a deployment under load, with one fault after another."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from lab.deployment import Size
 
-#: What goes wrong, in this order; each is over before the next one.
+#: The faults in their order; each is over before the next one begins.
 STORY: Final = (
     Fault.MANIFEST,
     Fault.STOP,
@@ -22,18 +22,18 @@
     Fault.UPSTREAM_REPLACED,
     Fault.UPSTREAM_RESET,
 )
-_PAUSE_S: Final = 1
+_FAULT_PAUSE_S: Final = 1
 
 
 async def demo(seed: int, size: Size) -> Outcome:
-    """Play the tour, telling what happens."""
+    """Run the demo and print each fault."""
     print('callers and a trainer are at work')
-    return await play(seed, size, _tell)
+    return await play(seed, size, _apply_in_order)
 
 
-async def _tell(faults: Faults) -> None:
+async def _apply_in_order(faults: Faults) -> None:
     for fault in STORY:
-        await asyncio.sleep(_PAUSE_S)
+        await asyncio.sleep(_FAULT_PAUSE_S)
         print(f'- {fault.value}', flush=True)
         await faults.apply(fault)
     print('the faults are over; waiting until every step is whole')
--- a/lab/deployment.py
+++ b/lab/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment on one machine: models here, the product as processes."""
+"""A deployment on one machine: models, and the product as processes."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 _STORE_PORT: Final = 8266
 _UPSTREAM_PORT: Final = 8100
 _PROXY_PORT: Final = 8101
-#: Where entries listen for each other.
+#: The port on which entries listen for other entries.
 _ENTRY_PORT: Final = 7300
-_HOSTS_EACH: Final = 250
-_CALL_MS: Final = 2000
-_JOB_MS: Final = 20_000
+_HOSTS_PER_SUBNET: Final = 250
+_CALL_TIMEOUT_MS: Final = 2000
+_JOB_DUE_MS: Final = 20_000
 ATTEMPTS: Final = 3
-#: How long a process may take to listen.
-_START_S: Final = 60
-_LOOK_S: Final = 0.1
-#: How soon upstreams tell of a change, such as loaded weights.
-_REGISTER_S: Final = 0.3
+#: How long a process may take until it listens.
+_START_TIMEOUT_S: Final = 60
+_POLL_INTERVAL_S: Final = 0.1
+#: Interval at which upstreams register changes, such as loaded weights.
+_REGISTER_INTERVAL_S: Final = 0.3
 
 
 class Size:
-    """How many of each there are."""
+    """The numbers of entries, models and groups of a deployment."""
 
     def __init__(
         self,
@@ -57,37 +57,39 @@
         self.entries = entries
         self.engines = engines
         self.services = services
-        #: Groups of a step; more make it longer.
+        #: Groups of items in each step; more groups make it take longer.
         self.groups = groups
 
 
 class Deployment:
-    """Store, engines and services as models; entries and agents for real.
+    """A deployment whose entries and agents run as real processes.
 
-    Each process has its own way to the store, each upstream its own way for
-    all, and each entry its own way to each other one, so that a proxy can
-    break any of them.
+    The store, the engines and the services are models. Each process has its
+    own proxy to the store, each upstream has one proxy for all its clients,
+    and each entry has its own proxy to each other entry, so that each of
+    these links can be broken separately.
 
     Parameters
     ----------
     folder
-        Takes settings and logs.
+        The folder for settings and logs.
     network
-        The loopback network, the next free one if another run has it:
-        several deployments can run beside each other.
+        The number of the loopback network. The next free one is used if
+        another run has it, so that several deployments can run at a time.
     size
-        How many of each there are.
+        The numbers of processes and models.
     """
 
     def __init__(self, folder: pathlib.Path, network: int, size: Size) -> None:
         self._folder = folder
         self._network = Network(network)
-        self._hosts = 0
+        self._host_count = 0
         clock = LoopClock()
         store = Address(ip=self._next_ip(), port=_STORE_PORT)
         self.store = Store(store, clock)
         self.steps = OpenSteps(self.store)
-        #: By whose way it is, nobody's if it is everyone's, and to whom.
+        #: Proxies by the names of client and server. The client's name is
+        #: empty if all clients use the proxy.
         self.ways: dict[tuple[str, str], Proxy] = {}
         self.engines = [
             Engine(f'engine-{number}', ENGINES, self._upstream_address(), clock)
@@ -97,25 +99,25 @@
             Upstream(f'desk-{number}', DESKS, self._upstream_address(), clock)
             for number in range(size.services)
         ]
-        for one in self.upstreams:
-            listen = Address(ip=one.address.ip, port=_PROXY_PORT)
-            self.ways['', one.name] = Proxy(listen, one.address)
+        for upstream in self.upstreams:
+            listen = Address(ip=upstream.address.ip, port=_PROXY_PORT)
+            self.ways['', upstream.name] = Proxy(listen, upstream.address)
         self.entries = [
-            self._process(f'entry-{number}', 'gateway')
+            self._add_process(f'entry-{number}', 'gateway')
             for number in range(size.entries)
         ]
         self.agents = [
-            self._process(
+            self._add_process(
                 f'agent-{number}',
                 'agent',
                 self.ways['', engine.name].listen,
             )
             for number, engine in enumerate(self.engines)
         ]
-        self.storage = self._process('storage-0', 'agent')
+        self.storage = self._add_process('storage-0', 'agent')
         for entry, other in itertools.permutations(self.entries, 2):
-            self._lead(entry, other)
-        self._incarnations = 0
+            self._add_entry_proxy(entry, other)
+        self._replacement_count = 0
         self._tasks = Tasks()
         self.generation = 1
         self.version = 1
@@ -126,45 +128,45 @@
         return [*self.entries, *self.agents, self.storage]
 
     async def start(self) -> None:
-        """Start everything; return once entries take calls."""
+        """Start everything; return once all entries accept connections."""
         await self.store.start()
         self.put_manifest()
         for upstream in (*self.engines, *self.services):
             await upstream.start()
-        for way in self.ways.values():
-            await way.start()
+        for proxy in self.ways.values():
+            await proxy.start()
         self._tasks.start(self._keep_registered())
         for process in self.processes:
             await process.start()
-        async with asyncio.timeout(_START_S):
-            await asyncio.gather(*(listens(one) for one in self.entries))
+        async with asyncio.timeout(_START_TIMEOUT_S):
+            await asyncio.gather(*(listens(entry) for entry in self.entries))
 
     async def stop(self) -> None:
-        """End everything that was started here."""
+        """Stop everything that `start` has started."""
         await self._tasks.stop()
         for process in self.processes:
             process.send(signal.SIGCONT)
             await process.kill()
-        for way in self.ways.values():
-            await way.stop()
+        for proxy in self.ways.values():
+            await proxy.stop()
         for upstream in (*self.engines, *self.services):
             await upstream.stop()
         await self.store.stop()
         self._network.give_back()
 
     def put_manifest(self) -> None:
-        """Put the next manifest in force."""
+        """Write the next manifest to the store."""
         self.generation += 1
         routes = [
-            _route(SAFE_PATH, 'safe', DESKS),
-            _route(UNSAFE_PATH, 'unsafe', DESKS),
-            _route(SCORE_PATH, 'unsafe', DESKS),
-            _route(STEP_PATH, 'rollout', ENGINES, due_ms=_JOB_MS),
+            _bounded_route(SAFE_PATH, 'safe', DESKS),
+            _bounded_route(UNSAFE_PATH, 'unsafe', DESKS),
+            _bounded_route(SCORE_PATH, 'unsafe', DESKS),
+            _bounded_route(STEP_PATH, 'rollout', ENGINES, due_ms=_JOB_DUE_MS),
         ]
         self.store.put('config', 'main', manifest(self.generation, routes))
 
     def publish(self) -> None:
-        """Name the next version of the weights, as a trainer does."""
+        """Write the next version of the weights, as a trainer does."""
         self.version += 1
         spec = {'model': MODEL, 'version': self.version}
         self.store.put('versions', MODEL, spec)
@@ -177,35 +179,52 @@
     def ways_between(
         self, whose: Collection[str], to: Collection[str]
     ) -> list[Proxy]:
-        """Return the ways of some to some, in the order of their making."""
+        """Return the proxies between some clients and some servers.
+
+        Parameters
+        ----------
+        whose
+            Names of the clients; an empty name selects the proxies that all
+            clients use.
+        to
+            Names of the servers.
+
+        Returns
+        -------
+        list of Proxy
+            The proxies in the order in which they were created.
+        """
         return [
-            way
-            for (one, other), way in self.ways.items()
-            if one in whose and other in to
+            proxy
+            for (client, server), proxy in self.ways.items()
+            if client in whose and server in to
         ]
 
     def replace(self, upstream: Upstream) -> None:
-        """Have another incarnation at an upstream's address."""
+        """Replace an upstream by another incarnation at its address."""
         self.store.remove('servers', upstream.name)
-        way = self.ways.pop(('', upstream.name))
-        way.reset()
-        self._incarnations += 1
-        upstream.name = f'{upstream.name}+{self._incarnations}'
-        self.ways['', upstream.name] = way
-        self._register(upstream)
+        proxy = self.ways.pop(('', upstream.name))
+        proxy.reset()
+        self._replacement_count += 1
+        upstream.name = f'{upstream.name}+{self._replacement_count}'
+        self.ways['', upstream.name] = proxy
+        self._register_upstream(upstream)
 
     async def _keep_registered(self) -> None:
-        """Register upstreams, each at its proxy, and what changes of them."""
+        """Register the upstreams and their changes until cancelled.
+
+        Each upstream is registered with the address of its proxy.
+        """
         while True:
             for upstream in (*self.engines, *self.services):
-                self._register(upstream)
-            await asyncio.sleep(_REGISTER_S)
+                self._register_upstream(upstream)
+            await asyncio.sleep(_REGISTER_INTERVAL_S)
 
-    def _register(self, upstream: Upstream) -> None:
-        way = self.ways['', upstream.name]
-        register(self.store, upstream, address=written(way.listen))
+    def _register_upstream(self, upstream: Upstream) -> None:
+        proxy = self.ways['', upstream.name]
+        register(self.store, upstream, address=written(proxy.listen))
 
-    def _process(
+    def _add_process(
         self, name: str, command: str, engine: Address | None = None
     ) -> ProductProcess:
         ip = self._next_ip()
@@ -213,8 +232,10 @@
         self.ways[name, STORE] = Proxy(listen, self.store.address)
         return ProductProcess(name, command, ip, listen, self._folder, engine)
 
-    def _lead(self, entry: ProductProcess, other: ProductProcess) -> None:
-        """Lead an entry to another one, which listens where it says."""
+    def _add_entry_proxy(
+        self, entry: ProductProcess, other: ProductProcess
+    ) -> None:
+        """Add a proxy over which an entry connects to another entry."""
         target = Address(ip=other.ip, port=_ENTRY_PORT)
         listen = Address(ip=self._next_ip(), port=_ENTRY_PORT)
         entry.ways[written(target)] = written(listen)
@@ -224,42 +245,50 @@
         return Address(ip=self._next_ip(), port=_UPSTREAM_PORT)
 
     def _next_ip(self) -> str:
-        self._hosts += 1
-        third, fourth = divmod(self._hosts, _HOSTS_EACH)
-        # The first address marks the network as taken.
+        self._host_count += 1
+        third, fourth = divmod(self._host_count, _HOSTS_PER_SUBNET)
+        # The first address of a network is bound to reserve the network.
         return '.'.join(
             map(str, (127, self._network.number, third, fourth + 1))
         )
 
 
 def new_client() -> Client:
-    """Return a client with connections of its own."""
+    """Return a client that shares no connections with other clients."""
     return Client(LoopClock(), HOST)
 
 
 async def listens(process: ProductProcess) -> None:
-    """Return once a process takes connections."""
+    """Wait until a process accepts connections.
+
+    Raises
+    ------
+    RuntimeError
+        The process has ended.
+    """
     while process.running:
         try:
             _, writer = await asyncio.open_connection(
                 process.front.ip, process.front.port
             )
         except OSError:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         else:
             writer.close()
             return
     raise RuntimeError(f'{process.name} ended, see its log')
 
 
-def _route(path: str, kind: str, service: str, **more: int) -> dict[str, Any]:
+def _bounded_route(
+    path: str, kind: str, service: str, **bounds: int
+) -> dict[str, Any]:
     return route(
         HOST,
         path,
         kind,
         service,
-        timeout_ms=_CALL_MS,
-        goal_ms=_CALL_MS,
+        timeout_ms=_CALL_TIMEOUT_MS,
+        goal_ms=_CALL_TIMEOUT_MS,
         max_attempts=ATTEMPTS,
-        **more,
+        **bounds,
     )
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside the processes, drawn from a seed."""
+"""Faults that are applied from outside the processes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     from lab.deployment import Deployment
     from lab.promises import Promises
 
-#: Pauses between two faults: some come at once, some alone.
-_PAUSES_S: Final = (0, 0.3, 1, 2)
+#: Pauses between two faults: some faults begin together, some are alone.
+_FAULT_PAUSES_S: Final = (0, 0.3, 1, 2)
 
 
 class Fault(enum.Enum):
-    """What is done to the deployment."""
+    """Kinds of faults that can be applied to a deployment."""
 
     KILL = 'a process is killed and started again'
     STOP = 'a process is stopped as planned and started again'
@@ -51,9 +51,11 @@
     ENDING_REQUEST = 'a request ends each service that runs it'
 
 
-#: In the order in which they come if only they do.
+#: In the order in which they are applied if no other kinds are.
 AIMED: Final = (Fault.OWNER_PAUSED, Fault.OWNER_CUT, Fault.STOP_SERIES)
-#: Not drawn with the others: seeds that failed would play other runs.
+#: `Fault.ENDING_REQUEST` is drawn in this set only. In `RANDOM` it would
+#: change the faults that a seed gives, so that seeds which have failed would
+#: no longer repeat their runs.
 CRASHING: Final = (
     Fault.ENDING_REQUEST,
     Fault.KILL,
@@ -67,16 +69,16 @@
 
 
 class Faults:
-    """Draws faults and does them, in series and overlapping.
+    """Faults of one run, applied in series and overlapping.
 
     Parameters
     ----------
     deployment
-        What is harmed.
+        The deployment to which the faults are applied.
     promises
-        Takes how planned stops ended.
+        The collector of checks, such as those of graceful stops.
     rng
-        Draws what, when and how long.
+        The random source for kinds, times and durations.
     """
 
     def __init__(
@@ -120,34 +122,41 @@
     async def run(
         self, seconds: float, kinds: tuple[Fault, ...] = RANDOM
     ) -> None:
-        """Do faults for some seconds; return once all are over.
-
-        Aimed ones take seconds each; each kind is done at least once.
+        """Apply faults for some seconds; return once all are over.
+
+        Parameters
+        ----------
+        seconds
+            How long new faults begin. `AIMED` faults take seconds each, so
+            they go on until each kind was applied at least once.
+        kinds
+            The kinds to draw from; those of `AIMED` are applied in order.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         async with asyncio.TaskGroup() as group:
-            while loop.time() < until or self._missing(kinds):
-                fault = self._next(kinds)
+            while loop.time() < until or self._is_kind_missing(kinds):
+                fault = self._choose_fault(kinds)
                 applied = group.create_task(self.apply(fault))
                 if fault in AIMED:
-                    # Two owners are no longer there once others are stopped.
+                    # The fault needs two owners at a time; another fault
+                    # could stop one of them.
                     await applied
-                await asyncio.sleep(self._rng.choice(_PAUSES_S))
+                await asyncio.sleep(self._rng.choice(_FAULT_PAUSES_S))
 
     async def apply(self, fault: Fault) -> None:
-        """Do one fault; return once it is over."""
+        """Apply one fault; return once it is over."""
         self.done[fault] += 1
         await self._actions[fault]()
 
-    def _missing(self, kinds: tuple[Fault, ...]) -> bool:
+    def _is_kind_missing(self, kinds: tuple[Fault, ...]) -> bool:
         return kinds is AIMED and len(self.done) < len(AIMED)
 
-    def _next(self, kinds: tuple[Fault, ...]) -> Fault:
+    def _choose_fault(self, kinds: tuple[Fault, ...]) -> Fault:
         if kinds is AIMED:
             return AIMED[self.done.total() % len(AIMED)]
         return self._rng.choice(kinds)
 
 
-#: Does the faults of a run; returns once they are over.
+#: Applies the faults of a run; returns once they are over.
 Harm = Callable[[Faults], Awaitable[None]]
--- a/lab/help.py
+++ b/lab/help.py
@@ -1,4 +1,4 @@
-"""What the laboratory's commands do, for a person at a terminal."""
+"""Help texts of the commands of ``python -m lab``."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping
 
-_HELP_WORDS: Final = frozenset(('--help', '-h', '-help'))
-_SIZE: Final = ('entries', 'engines', 'services', 'groups')
+_HELP_FLAGS: Final = frozenset(('--help', '-h', '-help'))
+_SIZE_FLAGS: Final = ('entries', 'engines', 'services', 'groups')
 
 
 class _Command(NamedTuple):
-    """One command: what it is for, an example, its flags."""
+    """The purpose of a command, an example, and its flags."""
 
     purpose: str
     example: str
@@ -29,12 +29,12 @@
         'demo': _Command(
             'Runs a deployment with a tour of faults, checks its promises.',
             'python -m lab demo --seeds=3',
-            ('seeds', *_SIZE),
+            ('seeds', *_SIZE_FLAGS),
         ),
         'soak': _Command(
             'Runs deployments under random faults, one for each seed.',
             'python -m lab soak --seeds=1-50 --seconds=15 --jobs=4',
-            ('seeds', 'seconds', 'jobs', 'faults', 'json', *_SIZE),
+            ('seeds', 'seconds', 'jobs', 'faults', 'json', *_SIZE_FLAGS),
         ),
         'experiment': _Command(
             'Compares scenarios over seeds, in virtual time.',
@@ -52,17 +52,17 @@
 
 
 def help_wanted(words: list[str]) -> bool:
-    """Return whether somebody asks what a command does."""
-    return not _HELP_WORDS.isdisjoint(words)
+    """Return whether the arguments request help."""
+    return not _HELP_FLAGS.isdisjoint(words)
 
 
 def help_of(words: list[str]) -> str:
-    """Return the help of the command that is named, or of all."""
+    """Return the help of the command that is named, or of all commands."""
     named = [word for word in words if word in COMMANDS]
-    return '\n'.join(_of_command(named[0]) if named else _of_all())
+    return '\n'.join(_command_help(named[0]) if named else _general_help())
 
 
-def _of_all() -> Iterator[str]:
+def _general_help() -> Iterator[str]:
     yield 'usage: python -m lab COMMAND [FLAGS]'
     yield ''
     yield from columns(
@@ -72,15 +72,15 @@
     yield 'python -m lab COMMAND --help tells more.'
 
 
-def _of_command(name: str) -> Iterator[str]:
+def _command_help(name: str) -> Iterator[str]:
     command = COMMANDS[name]
     yield command.purpose
     yield ''
     yield f'example: {command.example}'
     yield ''
-    yield from columns([_of_flag(flag) for flag in command.flags])
+    yield from columns([_flag_row(flag) for flag in command.flags])
 
 
-def _of_flag(name: str) -> tuple[str, str]:
+def _flag_row(name: str) -> tuple[str, str]:
     flag = flags.FLAGS[name]
     return f'--{name}={flag.default}', str(flag.help)
--- a/lab/objects.py
+++ b/lab/objects.py
@@ -1,4 +1,4 @@
-"""The objects of the store model, and what changed in which order."""
+"""The objects of the store model and the history of their changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Refusal(enum.Enum):
-    """Why a write was not done."""
+    """Why a write was rejected; the value is the HTTP status."""
 
     ABSENT = 404
     CONFLICT = 409
@@ -32,35 +32,38 @@
 
 
 class WriteCall(NamedTuple):
-    """A writing call of the protocol."""
+    """A write request of the protocol."""
 
     method: str
-    #: Kind, name and perhaps ``status``.
+    #: Kind and name; ``status`` follows if the status is written.
     parts: tuple[str, ...]
     body: bytes
 
 
 class WriteResult(NamedTuple):
-    """What became of a write: no refusal, or the object in its way."""
+    """The outcome of a write."""
 
+    #: ``None`` if the write was applied.
     refusal: Refusal | None
+    #: The written object, or the existing one with which a rejected write is
+    #: in conflict.
     stored: Stored | None = None
 
 
 class ObjectTable:
-    """Objects by kind and name; every write gets the next revision."""
+    """Objects by kind and name; each write gets the next revision."""
 
     def __init__(self) -> None:
         self.objects: dict[str, dict[str, Stored]] = {}
         self.history: list[Written] = []
-        #: Changes up to this revision can't be told any more.
+        #: Changes up to this revision are no longer in the history.
         self.forgotten = 0
         self.revision = _FIRST_REVISION
 
     def put(
         self, kind: str, name: str, spec: object, status: object = None
     ) -> Stored:
-        """Write an object; an existing one keeps its status."""
+        """Write an object; an existing object keeps its status."""
         known = self.objects.setdefault(kind, {}).get(name)
         self.revision += 1
         stored = {
@@ -69,14 +72,14 @@
             'status': status if known is None else known['status'],
         }
         self.objects[kind][name] = stored
-        self._note(kind, removed=False, stored=stored)
+        self._record_change(kind, removed=False, stored=stored)
         return stored
 
     def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
         stored = self.objects[kind].pop(name)
         self.revision += 1
-        self._note(kind, removed=True, stored=stored)
+        self._record_change(kind, removed=True, stored=stored)
 
     def of_kind(self, kind: str) -> dict[str, Stored]:
         """Return the objects of a kind by name."""
@@ -94,7 +97,7 @@
         self.history.clear()
 
     def since(self, kind: str, revision: int) -> Iterator[Written]:
-        """Return the changes of a kind behind a revision."""
+        """Return the changes of a kind after a revision."""
         return (
             written
             for written in self.history
@@ -102,7 +105,7 @@
         )
 
     def write(self, call: WriteCall) -> WriteResult:
-        """Do a writing call of the protocol."""
+        """Apply a write request of the protocol."""
         if call.method == 'POST':
             return self._create(call)
         kind, name = call.parts[:2]
@@ -133,5 +136,7 @@
             return WriteResult(Refusal.CONFLICT, stored)
         return WriteResult(None, self.put(kind, current['name'], sent['spec']))
 
-    def _note(self, kind: str, *, removed: bool, stored: Stored) -> None:
+    def _record_change(
+        self, kind: str, *, removed: bool, stored: Stored
+    ) -> None:
         self.history.append(Written(self.revision, kind, removed, dict(stored)))
--- a/lab/open_steps.py
+++ b/lab/open_steps.py
@@ -1,4 +1,4 @@
-"""Which steps are open, who runs them, and what the store has of them."""
+"""Open steps, with their owners and their results in the store."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
     from lab.store import Store
 
-_RECORD: Final = 'result-'
+_RESULT_PREFIX: Final = 'result-'
 
 
 class OpenSteps:
-    """Steps that were taken in, as the store knows them.
+    """The steps that entries have accepted, as the store has them.
 
     Parameters
     ----------
     store
-        Where the product keeps its jobs.
+        The store model with the product's jobs.
     """
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        #: How many items each step has.
+        #: The number of items of each accepted step.
         self.sizes: dict[str, int] = {}
 
     def listed(self, job: str) -> list[str]:
-        """Return the items that have a position."""
+        """Return the ids of the items that have a position."""
         return [
             result['item']
             for name, spec in self._store.table.specs(f'job-{job}').items()
-            if name.startswith(_RECORD)
+            if name.startswith(_RESULT_PREFIX)
             for result in spec['results']
         ]
 
     def open_jobs(self) -> list[str]:
-        """Return the steps that are not listed to their end."""
+        """Return the steps of which not all items are listed."""
         return [
             job
             for job, size in self.sizes.items()
@@ -44,7 +44,19 @@
         ]
 
     def grown_job(self, before: Mapping[str, int]) -> str:
-        """Return an open step with more listed than before, or nothing."""
+        """Return an open step with more listed items than before.
+
+        Parameters
+        ----------
+        before
+            The numbers of listed items at an earlier time; 0 for steps that
+            are missing in it.
+
+        Returns
+        -------
+        str
+            The job's id, empty if there is no such step.
+        """
         grown = (
             job
             for job in self.open_jobs()
@@ -53,5 +65,5 @@
         return next(grown, '')
 
     def owner(self, job: str) -> str:
-        """Return the entry that the store names as a step's owner."""
+        """Return the name of the entry that owns a step."""
         return str(self._store.table.specs('jobs')[job]['owner'])
--- a/lab/play.py
+++ b/lab/play.py
@@ -1,4 +1,4 @@
-"""One run of a deployment: clients at work, faults, and what is checked."""
+"""A run of a deployment with clients, faults and checks."""
 
 from __future__ import annotations
 
@@ -26,50 +26,50 @@
     from bergamotdoor.settings.document import Address
     from lab.processes import ProductProcess
 
-_LOOK_S: Final = 0.25
-#: From the end of the last fault until all is well again; the longest rest
-#: of an upstream that failed often is 8 s, a step 4 s.
-_RECOVERY_S: Final = 60
+_POLL_INTERVAL_S: Final = 0.25
+#: Time limit for the recovery after the last fault. The longest backoff of an
+#: upstream that failed often is 8 s, and a step takes 4 s.
+_RECOVERY_TIMEOUT_S: Final = 60
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a run found."""
+    """The findings of a run."""
 
     seed: int
     seconds: float
     calls: int
     steps: int
-    #: Connections between entries, which all go over proxies.
+    #: The number of connections between entries; all go through proxies.
     led: int
     faults: dict[str, int]
     checked: dict[str, int]
     broken: list[str]
     #: All promises, as a table.
     report: str
-    #: Settings and logs, kept if a promise broke.
+    #: The folder with settings and logs, kept only if a promise was broken.
     folder: str
 
 
 async def play(seed: int, size: Size, harm: Harm) -> Outcome:
-    """Run a deployment, do it harm, wait until all is well again.
+    """Run a deployment, apply faults, and wait until it has recovered.
 
     Parameters
     ----------
     seed
-        Draws everything but the timing of the machine.
+        The seed of everything but the timing of the machine.
     size
-        How many entries, engines and services.
+        The numbers of entries, engines, services and groups.
     harm
-        Does the faults; returns once they are over.
+        A function that applies the faults and returns once they are over.
     """
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f'lab-{seed}-'))
-    began = time.monotonic()
-    run = _Run(seed, folder, size)
+    started_s = time.monotonic()
+    run = _DeploymentRun(seed, folder, size)
     try:
-        await run.play(harm)
+        await run.run_with_faults(harm)
     finally:
         await run.stop()
-    outcome = run.outcome(time.monotonic() - began)
+    outcome = run.outcome(time.monotonic() - started_s)
     if not outcome.broken:
         shutil.rmtree(folder, ignore_errors=True)
     return outcome
@@ -78,12 +78,24 @@
 async def soak(
     seed: int, seconds: float, size: Size, kinds: tuple[Fault, ...] = RANDOM
 ) -> Outcome:
-    """Run a deployment under faults of these kinds, drawn from `seed`."""
+    """Run a deployment under faults that are drawn from a seed.
+
+    Parameters
+    ----------
+    seed
+        The seed of the run.
+    seconds
+        How long new faults begin.
+    size
+        The numbers of entries, engines, services and groups.
+    kinds
+        The kinds of faults to draw from.
+    """
     return await play(seed, size, lambda faults: faults.run(seconds, kinds))
 
 
-class _Run:
-    """One deployment, its clients and its faults."""
+class _DeploymentRun:
+    """A deployment with its clients, faults and checks."""
 
     def __init__(self, seed: int, folder: pathlib.Path, size: Size) -> None:
         rng = random.Random(seed)
@@ -91,7 +103,8 @@
         self._folder = folder
         self._promises = Promises()
         self._deployment = Deployment(folder, seed, size)
-        # Each draws from its own source, so that one does not shift another.
+        # Each part has its own random source, so that the draws of one part
+        # don't change those of another.
         self._callers = Callers(
             self._deployment, self._promises, random.Random(rng.random())
         )
@@ -110,11 +123,11 @@
             random.Random(rng.random()),
         )
         self._client = new_client()
-        #: The manifest that each process was last seen with.
-        self._seen: dict[str, int] = {}
+        #: The manifest's generation that each entry reported last.
+        self._generations: dict[str, int] = {}
 
-    async def play(self, harm: Harm) -> None:
-        """Let clients work under faults, then wait until all is well."""
+    async def run_with_faults(self, apply_faults: Harm) -> None:
+        """Run the clients under faults, then wait for the recovery."""
         await self._deployment.start()
         background = [
             asyncio.create_task(self._callers.run()),
@@ -123,9 +136,9 @@
         ]
         training = asyncio.create_task(self._trainer.run())
         try:
-            await harm(self._faults)
+            await apply_faults(self._faults)
             self._trainer.ending = True
-            await self._recover(training)
+            await self._check_recovery(training)
         finally:
             for task in (*background, training):
                 task.cancel()
@@ -133,8 +146,9 @@
         await self._trainer.check_again()
 
     async def stop(self) -> None:
-        """End everything; check what ran at the upstreams."""
-        # First of all: nothing that was started may be left behind.
+        """Stop everything; check what ran at the upstreams."""
+        # The deployment stops first, so that an error in the other lines
+        # leaves no process behind.
         await self._deployment.stop()
         await self._callers.close()
         await self._trainer.close()
@@ -152,7 +166,8 @@
             calls=self._callers.answered,
             steps=self._trainer.whole,
             led=sum(
-                way.accepted for way in deployment.ways_between(names, names)
+                proxy.accepted
+                for proxy in deployment.ways_between(names, names)
             ),
             faults={
                 fault.name: count for fault, count in self._faults.done.items()
@@ -165,16 +180,16 @@
             folder=str(self._folder),
         )
 
-    async def _recover(self, training: asyncio.Task[None]) -> None:
-        """Wait for all that has to be well again after the faults."""
+    async def _check_recovery(self, training: asyncio.Task[None]) -> None:
+        """Wait for the recovery after the faults, then check it."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_RECOVERY_S):
+            async with asyncio.timeout(_RECOVERY_TIMEOUT_S):
                 await training
-                while not self._well():
-                    await asyncio.sleep(_LOOK_S)
+                while not self._has_recovered():
+                    await asyncio.sleep(_POLL_INTERVAL_S)
         for step in self._trainer.steps:
             self._promises.check(Promise.COMPLETE, step.whole, step.progress())
-        for name, generation in self._seen.items():
+        for name, generation in self._generations.items():
             self._promises.check(
                 Promise.NEWEST,
                 generation == self._deployment.generation,
@@ -187,10 +202,10 @@
                 f'{engine.name} has {engine.version}',
             )
 
-    def _well(self) -> bool:
+    def _has_recovered(self) -> bool:
         deployment = self._deployment
         newest = all(
-            self._seen.get(entry.name) == deployment.generation
+            self._generations.get(entry.name) == deployment.generation
             for entry in deployment.entries
         )
         return newest and all(
@@ -211,26 +226,26 @@
         while True:
             for entry in self._deployment.entries:
                 if entry.running:
-                    await self._look_at(entry)
-            await asyncio.sleep(_LOOK_S)
+                    await self._check_generation(entry)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def _look_at(self, entry: ProductProcess) -> None:
-        generation = await self._generation(entry.inspection)
+    async def _check_generation(self, entry: ProductProcess) -> None:
+        generation = await self._read_generation(entry.inspection)
         if generation is None:
             return
-        before = self._seen.get(entry.name, 0)
-        self._seen[entry.name] = generation
+        before = self._generations.get(entry.name, 0)
+        self._generations[entry.name] = generation
         self._promises.check(
             Promise.MANIFEST,
             generation >= before,
             f'{entry.name}: {generation} after {before}',
         )
 
-    async def _generation(self, address: Address) -> int | None:
+    async def _read_generation(self, address: Address) -> int | None:
         reply = await self._client.send(
             address, Call('GET', STATE_PATH, idempotent=True)
         )
         if reply is None:
             return None
-        found = reply.json['gateway']['generation']
-        return None if found is None else int(found)
+        generation = reply.json['gateway']['generation']
+        return None if generation is None else int(generation)
--- a/lab/process_faults.py
+++ b/lab/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the product's processes."""
+"""Faults of the product's processes: signals and restarts."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     from lab.deployment import Deployment
     from lab.processes import ProductProcess
 
-#: Within the grace of eight seconds, and a little for the machine.
-_STOP_S: Final = 12
+#: The grace period of eight seconds and a margin for a busy machine.
+_STOP_TIMEOUT_S: Final = 12
 #: How long a process takes to end by a signal that it does not handle.
-_END_S: Final = 0.2
+_UNHANDLED_SIGNAL_S: Final = 0.2
 
 
 class ProcessFaults:
-    """Signals processes and starts them again."""
+    """Faults that signal processes and start them again."""
 
     def __init__(
         self,
@@ -35,20 +35,20 @@
         self._deployment = deployment
         self._promises = promises
         self._rng = rng
-        #: Processes that are stopped, paused or being started.
-        self._away: set[str] = set()
+        #: Names of processes that a fault has stopped or paused, or starts.
+        self._reserved_names: set[str] = set()
 
     async def kill(self) -> None:
         """Kill a process and start it again."""
-        await self._restart(signal.SIGKILL)
+        await self._restart_random(signal.SIGKILL)
 
     async def stop(self) -> None:
-        """Stop a process as planned and start it again."""
-        await self._restart(signal.SIGTERM)
+        """Stop a process gracefully and start it again."""
+        await self._restart_random(signal.SIGTERM)
 
     async def pause(self) -> None:
-        """Pause a process."""
-        process = self._pick()
+        """Pause a process for a while."""
+        process = self._reserve_random()
         if process is None:
             return
         process.send(signal.SIGSTOP)
@@ -59,65 +59,69 @@
     async def reload(self) -> None:
         """Have a process read its settings again.
 
-        One that has not run its first line yet ends by the system's default;
-        the platform starts it once more.
+        A process that has not run its first line yet is ended by the signal's
+        default action. It is started again, as the platform would do.
         """
         process = self._rng.choice(self._deployment.processes)
         process.send(signal.SIGHUP)
-        await asyncio.sleep(_END_S)
+        await asyncio.sleep(_UNHANDLED_SIGNAL_S)
         if process.ended_by is signal.SIGHUP and self.take(process):
-            await self._start_taken(process)
+            await self._start_reserved(process)
 
     async def stop_first(self, processes: Iterable[ProductProcess]) -> None:
-        """Stop the first that no fault has as planned, and start it again."""
-        process = next((one for one in processes if self.take(one)), None)
+        """Stop the first process that no fault has reserved; restart it."""
+        process = next(
+            (process for process in processes if self.take(process)), None
+        )
         if process is not None:
-            await self._restart_taken(process, signal.SIGTERM)
+            await self._restart_reserved(process, signal.SIGTERM)
 
     def take(self, process: ProductProcess) -> bool:
-        """Keep other faults from a process; False if one has it."""
-        if process.name in self._away:
+        """Reserve a process for a fault; return whether it was free."""
+        if process.name in self._reserved_names:
             return False
-        self._away.add(process.name)
+        self._reserved_names.add(process.name)
         return True
 
     def give_back(self, process: ProductProcess) -> None:
-        """Leave a process to other faults."""
-        self._away.discard(process.name)
+        """Release a process for other faults."""
+        self._reserved_names.discard(process.name)
 
-    async def _restart(self, number: signal.Signals) -> None:
-        process = self._pick()
+    async def _restart_random(self, signal_number: signal.Signals) -> None:
+        process = self._reserve_random()
         if process is not None:
-            await self._restart_taken(process, number)
+            await self._restart_reserved(process, signal_number)
 
-    async def _restart_taken(
-        self, process: ProductProcess, number: signal.Signals
+    async def _restart_reserved(
+        self, process: ProductProcess, signal_number: signal.Signals
     ) -> None:
-        process.send(number)
-        await self._ended(process, number)
+        process.send(signal_number)
+        await self._wait_for_end(process, signal_number)
         await asyncio.sleep(span_s(self._rng))
-        await self._start_taken(process)
+        await self._start_reserved(process)
 
-    async def _start_taken(self, process: ProductProcess) -> None:
+    async def _start_reserved(self, process: ProductProcess) -> None:
         await process.start()
         if process.command == 'gateway':
             await listens(process)
         self.give_back(process)
 
-    def _pick(self) -> ProductProcess | None:
+    def _reserve_random(self) -> ProductProcess | None:
         process = self._rng.choice(self._deployment.processes)
         return process if self.take(process) else None
 
-    async def _ended(
-        self, process: ProductProcess, number: signal.Signals
+    async def _wait_for_end(
+        self, process: ProductProcess, signal_number: signal.Signals
     ) -> None:
         try:
-            async with asyncio.timeout(_STOP_S):
-                code = await process.wait()
+            async with asyncio.timeout(_STOP_TIMEOUT_S):
+                exit_code = await process.wait()
         except TimeoutError:
-            code = -1
+            exit_code = -1
             await process.kill()
-        if number is signal.SIGTERM:
+        if signal_number is signal.SIGTERM:
             self._promises.check(
-                Promise.STOP, code == 0, f'{process.name} ended with {code}'
+                Promise.STOP,
+                exit_code == 0,
+                f'{process.name} ended with {exit_code}',
             )
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the product, started and signalled from outside."""
+"""Processes of the product, which the lab starts and signals."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ProductProcess:
-    """One gateway or agent.
+    """A gateway or agent process.
 
     Parameters
     ----------
@@ -32,13 +32,14 @@
     command
         ``gateway`` or ``agent``.
     ip
-        A loopback address of its own, so that all use the same ports.
+        A loopback address of its own, so that all processes can use the same
+        ports.
     store
-        Where it reaches the store.
+        The address at which the process reaches the store.
     folder
-        Takes its settings and log.
+        The folder for settings and log.
     engine
-        The engine beside an agent.
+        The address of the engine beside an agent, ``None`` if there is none.
     """
 
     def __init__(
@@ -53,7 +54,8 @@
         self.name = name
         self.command = command
         self.ip = ip
-        #: From where other processes listen to the proxies before them.
+        #: Addresses of the proxies that this process connects to, by the
+        #: addresses that they stand for.
         self.ways: dict[str, str] = {}
         self._store = store
         self._folder = folder
@@ -62,23 +64,23 @@
 
     @property
     def front(self) -> Address:
-        """Where callers reach it."""
+        """The address for callers."""
         return Address(ip=self.ip, port=_FRONT_PORT)
 
     @property
     def inspection(self) -> Address:
-        """Where its metrics and state are."""
+        """The address that serves metrics and state."""
         return Address(ip=self.ip, port=INSPECTION_PORT)
 
     @property
     def running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process has been started and has not ended."""
         process = self._process
         return process is not None and process.returncode is None
 
     @property
     def ended_by(self) -> signal.Signals | None:
-        """The signal whose default ended the process, if one did."""
+        """The signal whose default action ended the process, if any."""
         code = None if self._process is None else self._process.returncode
         return signal.Signals(-code) if code is not None and code < 0 else None
 
@@ -102,18 +104,18 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to this process, if it is there."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.running:
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Return the exit code once it has ended."""
+        """Wait until the process has ended; return its exit code."""
         if self._process is None:
             return 0
         return await self._process.wait()
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has ended."""
         self.send(signal.SIGKILL)
         await self.wait()
 
@@ -121,19 +123,21 @@
         listen = {}
         if self.command == 'gateway':
             listen = {
-                'front': _written(self.front),
+                'front': _format_address(self.front),
                 'ready': f'{self.ip}:{_READY_PORT}',
             }
         return {
             'node': self.name,
             'zone': 'here',
             'ip': self.ip,
-            'platform': {'address': _written(self._store)},
+            'platform': {'address': _format_address(self._store)},
             'listen': listen,
-            'app': '' if self._engine is None else _written(self._engine),
+            'app': ''
+            if self._engine is None
+            else _format_address(self._engine),
             'bounds': {'contact_ms': _CONTACT_MS, 'grace_s': _GRACE_S},
         }
 
 
-def _written(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f'{address.ip}:{address.port}'
--- a/lab/promises.py
+++ b/lab/promises.py
@@ -1,4 +1,4 @@
-"""What must hold, with how often it was checked and broken."""
+"""Promises to users, with counts of their checks and violations."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Promise(enum.Enum):
-    """What users were promised."""
+    """Guarantees to users of the product."""
 
     WHOLE = "an answer is whole and the caller's own"
     REFUSED = 'a refused request did not run'
@@ -34,20 +34,20 @@
 
 
 class Promises:
-    """Counts checks, and keeps what broke."""
+    """A collector of checks and of the details of broken promises."""
 
     def __init__(self) -> None:
         self.checked: Counter[Promise] = Counter()
         self.broken: list[str] = []
 
     def check(self, promise: Promise, holds: bool, detail: str) -> None:
-        """Count a check; keep the detail if it is broken."""
+        """Count a check; record `detail` if the promise is broken."""
         self.checked[promise] += 1
         if not holds:
             self.broken.append(f'{promise.name}: {detail}')
 
     def report(self) -> str:
-        """Return a table of all promises."""
+        """Return a table of all promises, then the details of broken ones."""
         broken = Counter(line.partition(':')[0] for line in self.broken)
         rows = [
             _ROW.format(
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, cuts, silences and resets connections."""
+"""A loopback proxy that delays, blocks, cuts and resets connections."""
 
 from __future__ import annotations
 
@@ -17,51 +17,51 @@
 
     from bergamotdoor.settings.document import Address
 
-_PIECE_BYTES: Final = 65_536
-#: Long enough that a call is slow, far below every timeout.
-_DELAY_S: Final = 0.2
-_STOP_S: Final = 2
-#: Lingering for no time makes a close a reset.
-_RESET: Final = struct.pack('ii', 1, 0)
+_CHUNK_BYTES: Final = 65_536
+#: The delay of a chunk: makes a call slow, and is far below every timeout.
+_CHUNK_DELAY_S: Final = 0.2
+_STOP_TIMEOUT_S: Final = 2
+#: Lingering for zero seconds turns the close of a socket into a reset.
+_ZERO_LINGER: Final = struct.pack('ii', 1, 0)
 
 
 class Link(enum.Enum):
-    """What the proxy does with what it is sent."""
+    """What the proxy does with data and connections."""
 
     OPEN = 'open'
-    #: Each piece is held for a while.
+    #: Each chunk is forwarded after a delay.
     DELAYED = 'delayed'
-    #: What the client sends arrives, the answers do not.
+    #: Data of the client is forwarded, responses are not.
     ONE_WAY = 'one-way'
-    #: Nothing arrives, and no connection is closed.
+    #: Nothing is forwarded, and no connection is closed.
     SILENT = 'silent'
     #: New connections are closed at once, open ones are reset.
     CUT = 'cut'
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """A proxy that forwards connections to one address.
 
     Parameters
     ----------
     listen
-        Where clients connect.
+        The address at which clients connect.
     target
-        Where the connections go.
+        The address to which connections are forwarded.
     """
 
     def __init__(self, listen: Address, target: Address) -> None:
         self.listen = listen
         self._target = target
-        #: How many connections came.
+        #: The number of accepted connections.
         self.accepted = 0
         self._link = Link.OPEN
-        self._opened = asyncio.Event()
-        self._opened.set()
+        self._may_forward = asyncio.Event()
+        self._may_forward.set()
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
-        self._starting: asyncio.Task[None] | None = None
+        self._start_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Accept connections."""
@@ -70,105 +70,111 @@
         )
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.use(Link.OPEN)
         self.reset()
-        # Connections that are reset end by themselves.
+        # The tasks of connections end once the connections are reset.
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=_STOP_S)
+            await asyncio.wait(self._tasks, timeout=_STOP_TIMEOUT_S)
 
     def refuse(self) -> None:
-        """Listen no more, and reset what is open, as an ended process does."""
+        """Stop listening and reset all connections, like an ended process."""
         if self._server is not None:
             self._server.close()
         self.reset()
 
     def accept_again(self) -> None:
-        """Listen again."""
-        self._starting = asyncio.create_task(self.start())
+        """Start listening again, in the background."""
+        self._start_task = asyncio.create_task(self.start())
 
     def use(self, link: Link) -> None:
-        """Change what happens from now on, also on open connections."""
+        """Change the link, also for open connections."""
         self._link = link
         if link in {Link.OPEN, Link.DELAYED}:
-            self._opened.set()
+            self._may_forward.set()
         else:
-            self._opened.clear()
+            self._may_forward.clear()
         if link is Link.CUT:
             self.reset()
 
     def reset(self) -> None:
         """Reset all open connections."""
         for writer in tuple(self._writers):
-            _reset(writer)
+            _reset_connection(writer)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.accepted += 1
-        task = asyncio.ensure_future(self._pass_on(reader, writer))
+        task = asyncio.ensure_future(self._forward_connection(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _pass_on(
+    async def _forward_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        with self._kept(writer):
+        with self._tracked(writer):
             if self._link is Link.CUT:
                 return
             try:
-                there, back = await asyncio.open_connection(
+                target_reader, target_writer = await asyncio.open_connection(
                     self._target.ip, self._target.port
                 )
             except OSError:
-                _reset(writer)
+                _reset_connection(writer)
                 return
-            with self._kept(back):
-                await self._join(reader, writer, there, back)
+            with self._tracked(target_writer):
+                await self._forward_both_ways(
+                    reader, writer, target_reader, target_writer
+                )
 
-    async def _join(
+    async def _forward_both_ways(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        there: asyncio.StreamReader,
-        back: asyncio.StreamWriter,
+        target_reader: asyncio.StreamReader,
+        target_writer: asyncio.StreamWriter,
     ) -> None:
-        ways = (
-            asyncio.create_task(self._carry(reader, back, answers=False)),
-            asyncio.create_task(self._carry(there, writer, answers=True)),
+        directions = (
+            asyncio.create_task(
+                self._forward_bytes(reader, target_writer, is_response=False)
+            ),
+            asyncio.create_task(
+                self._forward_bytes(target_reader, writer, is_response=True)
+            ),
         )
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
+            for direction in directions:
+                direction.cancel()
+            await asyncio.gather(*directions, return_exceptions=True)
 
-    async def _carry(
+    async def _forward_bytes(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
         *,
-        answers: bool,
+        is_response: bool,
     ) -> None:
         with contextlib.suppress(OSError):
-            piece = await source.read(_PIECE_BYTES)
-            while piece:
-                await self._hold(answers=answers)
-                sink.write(piece)
+            chunk = await source.read(_CHUNK_BYTES)
+            while chunk:
+                await self._wait_to_forward(is_response=is_response)
+                sink.write(chunk)
                 await sink.drain()
-                piece = await source.read(_PIECE_BYTES)
+                chunk = await source.read(_CHUNK_BYTES)
 
-    async def _hold(self, *, answers: bool) -> None:
+    async def _wait_to_forward(self, *, is_response: bool) -> None:
         if self._link is Link.DELAYED:
-            await asyncio.sleep(_DELAY_S)
-        if self._link is not Link.ONE_WAY or answers:
-            await self._opened.wait()
+            await asyncio.sleep(_CHUNK_DELAY_S)
+        if self._link is not Link.ONE_WAY or is_response:
+            await self._may_forward.wait()
 
     @contextlib.contextmanager
-    def _kept(self, writer: asyncio.StreamWriter) -> Iterator[None]:
+    def _tracked(self, writer: asyncio.StreamWriter) -> Iterator[None]:
         self._writers.add(writer)
         try:
             yield
@@ -177,16 +183,18 @@
             writer.close()
 
 
-def _reset(writer: asyncio.StreamWriter) -> None:
+def _reset_connection(writer: asyncio.StreamWriter) -> None:
     connection = writer.get_extra_info('socket')
     if connection is not None:
         with contextlib.suppress(OSError):
-            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+            connection.setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, _ZERO_LINGER
+            )
     writer.transport.abort()
 
 
 async def break_way(way: Proxy, rng: random.Random) -> None:
-    """Break a way for a while, in one of the manners there are."""
+    """Break a link for a while, in a manner that is drawn at random."""
     links = tuple(link for link in Link if link is not Link.OPEN)
     way.use(rng.choice(links))
     await asyncio.sleep(span_s(rng))
--- a/lab/readers.py
+++ b/lab/readers.py
@@ -1,4 +1,4 @@
-"""Other readers of open steps: from any position, at every entry."""
+"""Further readers of open steps, from any position and at every entry."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
     from lab.processes import ProductProcess
     from lab.trainer import Trainer
 
-_PAUSE_S: Final = 0.05
-#: How far behind the newest position readers begin.
-_BEHIND: Final = 5
+_READ_PAUSE_S: Final = 0.05
+#: Readers begin fewer than this many positions before the first unread one.
+_LOOKBACK_POSITIONS: Final = 5
 
 
 class Readers:
-    """Reads results and bodies of open steps at every entry all the while.
+    """Readers that poll results and bodies of open steps at every entry.
 
     Parameters
     ----------
     deployment
-        Where the entries are, and which steps are open.
+        The deployment with the entries and the listed items.
     trainer
-        Knows the steps, and has its reader check them.
+        The trainer whose open steps are read, with the reader that checks
+        them.
     rng
-        Draws positions and items.
+        The random source for positions and items.
     """
 
     def __init__(
@@ -46,21 +47,21 @@
         async with asyncio.TaskGroup() as group:
             for entry in self._deployment.entries:
                 for read in (self._read_results, self._read_bodies):
-                    group.create_task(self._read_often(entry, read))
+                    group.create_task(self._read_repeatedly(entry, read))
 
-    async def _read_often(
+    async def _read_repeatedly(
         self,
         entry: ProductProcess,
         read: Callable[[ProductProcess], Awaitable[None]],
     ) -> None:
         while True:
             await read(entry)
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_READ_PAUSE_S)
 
     async def _read_results(self, entry: ProductProcess) -> None:
         for step in self._trainer.open_steps():
             known = len(step.positions)
-            after = max(known - self._rng.randrange(_BEHIND), 0)
+            after = max(known - self._rng.randrange(_LOOKBACK_POSITIONS), 0)
             await self._trainer.reader.read(step, entry.front, after)
 
     async def _read_bodies(self, entry: ProductProcess) -> None:
--- a/lab/receiver.py
+++ b/lab/receiver.py
@@ -22,56 +22,56 @@
 
 
 class ReceiverMode(enum.Enum):
-    """How the receiver takes reports."""
+    """How the receiver responds to reports."""
 
     UP = 'up'
-    #: Refuses with 503.
+    #: Rejects reports with 503.
     BUSY = 'busy'
-    #: Refuses for its rate.
+    #: Rejects reports because of their rate, with 429.
     LIMITED = 'limited'
-    #: Takes calls and never answers; what it took counts.
+    #: Accepts reports, which count, and never responds.
     SILENT = 'silent'
-    #: Takes reports and breaks its connection.
+    #: Accepts reports and breaks their connections.
     LOSING = 'losing'
 
 
 class Received(NamedTuple):
-    """A report that came."""
+    """A report that arrived."""
 
     holder: str
     token: int
     window: int
     counts: dict[str, int]
-    #: When, in the event loop's time.
+    #: The time of its arrival on the event loop's clock.
     at_s: float
 
 
 class Receiver:
-    """Takes reports, and tells which promises were broken."""
+    """A receiver that records reports and finds broken promises."""
 
     def __init__(self, address: Address, clock: Clock) -> None:
         self.address = address
         self.mode = ReceiverMode.UP
-        #: All that came, refused or not.
+        #: All reports that arrived, rejected or not.
         self.came: list[Received] = []
-        #: What counts.
+        #: The reports that were accepted and so count.
         self.taken: list[Received] = []
         self._server = HttpServer(
             address, self.handle, LIMITS, clock, 'receiver'
         )
 
     async def start(self) -> None:
-        """Serve."""
+        """Start the server."""
         await self._server.start()
 
     async def stop(self) -> None:
-        """End all calls."""
+        """Stop the server and end all calls."""
         await self._server.stop(dt.timedelta())
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Take one report, as the mode says."""
+        """Handle one report as the mode says."""
         body = await request.read_body(_MAX_BODY_BYTES)
-        report = _received(request.headers, json.loads(body))
+        report = _parse_report(request.headers, json.loads(body))
         self.came.append(report)
         if self.mode is ReceiverMode.BUSY:
             return HttpResponse(status=int(HTTPStatus.SERVICE_UNAVAILABLE))
@@ -85,16 +85,16 @@
         return HttpResponse(status=int(HTTPStatus.OK))
 
     def reports(self) -> dict[int, dict[str, int]]:
-        """Return what was reported for each window."""
-        return {one.window: one.counts for one in self.taken}
+        """Return the accepted counts of each window."""
+        return {report.window: report.counts for report in self.taken}
 
     def broken(self, lease_s: float) -> list[str]:
-        """Return the promises of one holder that were broken."""
+        """Return descriptions of the broken promises about the holder."""
         return broken_promises(self.came, self.taken, lease_s)
 
 
 def duties_for(receiver: Receiver | None) -> DutySettings | None:
-    """Return what a process is told of duties; none without a receiver."""
+    """Return the duty settings of a process, ``None`` without a receiver."""
     if receiver is None:
         return None
     return DutySettings(
@@ -108,21 +108,28 @@
 def broken_promises(
     came: list[Received], taken: list[Received], lease_s: float
 ) -> list[str]:
-    """Return the promises of one holder that were broken.
+    """Return descriptions of the broken promises about the holder.
+
+    One holder at a time reports. Reports of one window have the same counts,
+    and tokens never decrease and belong to one holder each.
 
     Parameters
     ----------
     came
-        All reports that came, refused or not.
+        All reports that arrived, rejected or not, in the order of arrival.
     taken
-        Those that count.
+        The reports that were accepted.
     lease_s
-        Two holders must not take turns within this.
+        The lease in seconds, within which holders must not alternate.
     """
-    return [*_contradictions(taken), *_tokens(came), *_turns(came, lease_s)]
+    return [
+        *_find_contradictions(taken),
+        *_find_token_errors(came),
+        *_find_alternations(came, lease_s),
+    ]
 
 
-def _received(headers: Headers, body: dict[str, Any]) -> Received:
+def _parse_report(headers: Headers, body: dict[str, Any]) -> Received:
     return Received(
         headers.first('x-bergamotdoor-duty-holder'),
         int(headers.first('x-bergamotdoor-fence-token')),
@@ -132,38 +139,40 @@
     )
 
 
-def _contradictions(taken: list[Received]) -> list[str]:
+def _find_contradictions(taken: list[Received]) -> list[str]:
     first: dict[int, Received] = {}
     broken = []
-    for one in taken:
-        known = first.setdefault(one.window, one)
-        if known.counts != one.counts:
-            broken.append(f'two reports of one window: {known}, {one}')
+    for report in taken:
+        known = first.setdefault(report.window, report)
+        if known.counts != report.counts:
+            broken.append(f'two reports of one window: {known}, {report}')
     return broken
 
 
-def _tokens(came: list[Received]) -> list[str]:
+def _find_token_errors(came: list[Received]) -> list[str]:
     highest = 0
     holders: dict[int, str] = {}
     broken = []
-    for one in came:
-        if one.token < highest:
-            broken.append(f'a token below {highest}: {one}')
-        if holders.setdefault(one.token, one.holder) != one.holder:
-            first = holders[one.token]
-            broken.append(f'a token of {first}: {one}')
-        highest = max(highest, one.token)
+    for report in came:
+        if report.token < highest:
+            broken.append(f'a token below {highest}: {report}')
+        if holders.setdefault(report.token, report.holder) != report.holder:
+            first = holders[report.token]
+            broken.append(f'a token of {first}: {report}')
+        highest = max(highest, report.token)
     return broken
 
 
-def _turns(came: list[Received], lease_s: float) -> list[str]:
-    """Return where one holder acted, another one, and the first again."""
+def _find_alternations(came: list[Received], lease_s: float) -> list[str]:
+    """Return where a holder reported, then another one, then the first."""
     broken = []
     for number, last in enumerate(came):
-        lately = [
-            one for one in came[:number] if last.at_s - one.at_s < lease_s
+        recent = [
+            report
+            for report in came[:number]
+            if last.at_s - report.at_s < lease_s
         ]
-        holders = [one.holder for one in lately]
+        holders = [report.holder for report in recent]
         if last.holder in holders:
             between = holders[holders.index(last.holder) :]
             if set(between) != {last.holder}:
--- a/lab/report.py
+++ b/lab/report.py
@@ -1,4 +1,4 @@
-"""Reports of experiments: a table, JSON, HTML, and a plot if wanted."""
+"""Reports of experiments: a table, JSON, HTML and an optional plot."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
     from lab.experiment import Measured
 
-_PAGE: Final = """<!doctype html>
+_PAGE_TEMPLATE: Final = """<!doctype html>
 <title>bergamotdoor experiment</title>
 <h1>Experiment</h1>
 <table border="1">{rows}</table>
 {plot}
 """
-_PLOT: Final = 'steps.png'
-_NINTH: Final = 9
-_TENTHS: Final = 10
+_PLOT_FILE: Final = 'steps.png'
+_P90_NUMERATOR: Final = 9
+_P90_DENOMINATOR: Final = 10
 
 
 class Row(NamedTuple):
-    """What a scenario gave over its seeds."""
+    """Measurements of a scenario over all its seeds."""
 
     scenario: str
     seeds: int
@@ -39,10 +39,10 @@
 
 
 def summarize(measured: Iterable[Measured]) -> Iterator[Row]:
-    """Return one row for each scenario, in the order they come."""
+    """Return one row for each scenario, in the order of first runs."""
     by_name: dict[str, list[Measured]] = {}
-    for one in measured:
-        by_name.setdefault(one.scenario, []).append(one)
+    for measurement in measured:
+        by_name.setdefault(measurement.scenario, []).append(measurement)
     for name, runs in by_name.items():
         steps_s = sorted(took for run in runs for took in run.steps_s)
         calls_ms = [took for run in runs for took in run.calls_ms]
@@ -50,7 +50,9 @@
             scenario=name,
             seeds=len(runs),
             step_mean_s=round(statistics.fmean(steps_s), 3),
-            step_p90_s=steps_s[len(steps_s) * _NINTH // _TENTHS],
+            step_p90_s=steps_s[
+                len(steps_s) * _P90_NUMERATOR // _P90_DENOMINATOR
+            ],
             step_worst_s=steps_s[-1],
             call_mean_ms=round(statistics.fmean(calls_ms), 1),
             failed_calls=sum(run.failed_calls for run in runs),
@@ -75,18 +77,22 @@
     folder.mkdir(parents=True, exist_ok=True)
     body = msgspec.json.format(msgspec.json.encode(measured))
     (folder / 'measured.json').write_bytes(body)
-    plotted = draw(folder / _PLOT, measured)
-    page = _PAGE.format(
+    plotted = draw(folder / _PLOT_FILE, measured)
+    page = _PAGE_TEMPLATE.format(
         rows=''.join(_html_rows(list(summarize(measured)))),
-        plot=f'<img src="{_PLOT}">' if plotted else '',
+        plot=f'<img src="{_PLOT_FILE}">' if plotted else '',
     )
     (folder / 'report.html').write_text(page)
 
 
 def draw(path: pathlib.Path, measured: list[Measured]) -> bool:
-    """Draw the share of steps over their time; False without matplotlib.
+    """Plot the cumulative share of steps over their duration.
 
-    The library comes with the extra ``plots`` only.
+    Returns
+    -------
+    bool
+        Whether the plot was drawn: ``False`` if matplotlib, which only the
+        extra ``plots`` installs, is missing.
     """
     try:
         from matplotlib.figure import Figure
@@ -95,8 +101,8 @@
     figure = Figure()
     axes = figure.subplots()
     by_name: dict[str, list[float]] = {}
-    for one in measured:
-        by_name.setdefault(one.scenario, []).extend(one.steps_s)
+    for measurement in measured:
+        by_name.setdefault(measurement.scenario, []).extend(measurement.steps_s)
     for name, steps_s in by_name.items():
         shares = [number / len(steps_s) for number in range(len(steps_s))]
         axes.step(sorted(steps_s), shares, label=name)
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files of experiments: JSON with comments, checked on load."""
+"""Scenario files of experiments: JSON with comments, checked when loaded."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 
 
 class Scenario(Strict, frozen=True):
-    """A load, and what is changed in the product for it."""
+    """A load, and constants of the product to change for it."""
 
     name: str
-    #: How long steps and calls are asked for.
+    #: How long trainers submit steps and callers send calls.
     duration_s: float = 30
     entries: int = 3
     engines: int = 4
     groups: int = 8
     group_size: int = 4
-    #: How often a trainer asks a step.
+    #: The interval at which each trainer submits a step.
     every_s: float = 4
     trainers: int = 1
-    #: Lengths are drawn around this; a share of the items is five times as
-    #: long; none is longer than the most.
+    #: Items' lengths are drawn around `mean_events`; `long_share` of the items
+    #: are five times as long; no item is longer than `most_events`.
     mean_events: float = 20
     long_share: float = 0.08
     most_events: int = 120
     event_ms: float = 40
     calls_per_s: float = 5
-    #: From when on the first engine is slow, and how much slower; 0 is never.
+    #: The time from which on the first engine is slow, 0 for never, and how
+    #: many times slower it is then.
     slow_at_s: float = 0
     slow_factor: float = 3
-    #: Numbers of the product to change, by module and name, such as
+    #: Constants of the product to change, by module and name, such as
     #: ``bergamotdoor.jobs.progress._LEAST_RATIO``.
     changes: dict[str, float] = {}
 
--- a/lab/site.py
+++ b/lab/site.py
@@ -32,32 +32,34 @@
 _RECEIVER_PORT: Final = 8050
 _ENGINE_PORT: Final = 8100
 _SERVICE_PORT: Final = 8200
-#: Each entry has ten ports from here on.
+#: The first port of the first entry; each entry has ten ports.
 _ENTRY_PORT: Final = 9000
-_PORTS_EACH: Final = 10
+_PORTS_PER_ENTRY: Final = 10
 _AGENT_PORT: Final = 9500
-_OBJECT_BYTES: Final = 1_000_000
+_MAX_OBJECT_BYTES: Final = 1_000_000
 _RETENTION_S: Final = 120
 _OK: Final = 200
-#: Readers come again after this.
-_READ_S: Final = 0.2
+#: The pause between two reads of a job's results.
+_READ_INTERVAL_S: Final = 0.2
 
 
 def at(port: int) -> Address:
-    """Return an address of this machine."""
+    """Return the loopback address with a port."""
     return Address(ip=IP, port=port)
 
 
 class Site:
-    """Starts and stops the parts of a deployment."""
+    """A deployment in virtual time, with clients that send requests to it."""
 
-    #: The bandwidth of each entry's link, in Mbit/s; 0 is not told.
+    #: The bandwidth of each entry's link in Mbit/s, 0 if the settings give
+    #: none.
     link_mbps: float = 0
-    #: How soon a revoked key must stop working everywhere, if at all.
+    #: The time after which a revoked key must be rejected everywhere,
+    #: ``None`` if there is no such limit.
     revocation: dt.timedelta | None = None
-    #: Takes usage reports, if the deployment wants any.
+    #: The receiver of usage reports, ``None`` if usage is not reported.
     receiver: Receiver | None = None
-    #: How soon new work must stop going to an upstream that leaves.
+    #: The time after which a leaving upstream must receive no new work.
     drain: dt.timedelta = dt.timedelta(seconds=2)
 
     def __init__(self) -> None:
@@ -69,13 +71,13 @@
         self.entries: dict[str, GatewayDaemon] = {}
         self.agents: dict[str, AgentDaemon] = {}
         self.ports: dict[str, int] = {}
-        #: Where a process runs, unless it is here.
+        #: Zones of the processes that are not in the zone ``here``.
         self._zones: dict[str, str] = {}
         self.version = 3
         self.routes = usual_routes()
 
     def put_manifest(self, **changes: Any) -> None:
-        """Put the next manifest in force."""
+        """Write the next manifest to the store."""
         self.version += 2
         written = manifest(self.version, self.routes)
         self.store.put('config', 'main', {**written, **changes})
@@ -92,11 +94,11 @@
             await self.add_service(f'desk-{number}')
         for number in range(entries):
             await self.add_entry(f'entry-{number}')
-        # Entries know each other a second after their start.
+        # Entries know each other one second after their start.
         await asyncio.sleep(4)
 
     def place(self, name: str, zone: str) -> None:
-        """Have a process run in another zone once it is started."""
+        """Set the zone in which a process will be started."""
         self._zones[name] = zone
 
     async def add_engine(self, name: str) -> Engine:
@@ -119,9 +121,9 @@
         return service
 
     async def add_entry(self, name: str) -> GatewayDaemon:
-        """Start an entry, at its ports of before if it had some."""
+        """Start an entry; if it ran before, on the same ports."""
         port = self.ports.setdefault(
-            name, _ENTRY_PORT + _PORTS_EACH * len(self.ports)
+            name, _ENTRY_PORT + _PORTS_PER_ENTRY * len(self.ports)
         )
         entry = GatewayDaemon(self.settings(name, port), self.clock)
         await entry.start()
@@ -131,7 +133,7 @@
     async def add_agent(
         self, name: str, engine: Engine | None = None
     ) -> AgentDaemon:
-        """Start an engine's agent, or that of a VM with a disk."""
+        """Start the agent of an engine, or of a VM with a disk."""
         address = None if engine is None else engine.address
         settings = self.settings(name, _AGENT_PORT, address)
         agent = AgentDaemon(settings, self.clock)
@@ -142,13 +144,13 @@
     def settings(
         self, name: str, port: int, engine: Address | None = None
     ) -> NodeSettings:
-        """Return what the platform would tell a process."""
+        """Return the settings that the platform would give to a process."""
         return NodeSettings(
             node=NodeId(name),
             zone=ZoneId(self._zones.get(name, 'here')),
             ip=IP,
             store=self.store.address,
-            object_bytes=_OBJECT_BYTES,
+            object_bytes=_MAX_OBJECT_BYTES,
             callers=at(port),
             readiness=at(port + 1),
             first_port=port + 2,
@@ -164,12 +166,12 @@
         )
 
     async def kill(self, name: str) -> None:
-        """End an entry as SIGKILL would, as far as others see."""
+        """End an entry; other processes see what a SIGKILL would show."""
         entry = self.entries.pop(name)
         await entry.kill()
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop everything."""
         for entry in self.entries.values():
             await entry.kill()
         for agent in self.agents.values():
@@ -181,7 +183,7 @@
         for upstream in (*self.engines.values(), *self.services.values()):
             await upstream.stop()
 
-    # what clients do
+    # Requests of clients.
 
     async def ask(
         self,
@@ -192,7 +194,20 @@
         timeout_s: float = 5,
         **headers: str,
     ) -> Reply | None:
-        """Send one request; None if no whole answer came."""
+        """Send one request; return ``None`` if no complete response arrived.
+
+        Parameters
+        ----------
+        entry
+            The name of the entry that gets the request.
+        method, target, body
+            The request.
+        timeout_s
+            The timeout of the request in seconds.
+        **headers
+            Header fields of the platform, by their names without the prefix
+            and with underscores for hyphens.
+        """
         fields = tuple(
             (f'X-Bergamotdoor-{name.replace("_", "-")}', text)
             for name, text in headers.items()
@@ -209,7 +224,21 @@
         least: int = 1,
         score_path: str = '',
     ) -> Reply | None:
-        """Hand in a job: a list of groups, each of lengths in events."""
+        """Submit a job.
+
+        Parameters
+        ----------
+        entry
+            The name of the entry that gets the job.
+        job
+            The job's id.
+        lengths
+            The items' lengths in events, in one list for each group.
+        least
+            The least version of the weights.
+        score_path
+            The path at which texts are scored, empty if they are not.
+        """
         items = (
             JobItem(f'{job}.{group}.{number}', length, f'g{group}', score_path)
             for group, members in enumerate(lengths)
@@ -225,7 +254,14 @@
         )
 
     async def results(self, entry: str, job: str, after: int = 0) -> Any:
-        """Read one page; the status where there is none."""
+        """Read one page of results.
+
+        Returns
+        -------
+        Any
+            The decoded page, the status if it is not 200, or ``None`` if no
+            complete response arrived.
+        """
         reply = await self.ask(
             entry,
             'GET',
@@ -239,7 +275,7 @@
     async def all_results(
         self, entry: str, job: str, within_s: float = 12
     ) -> list[dict[str, Any]]:
-        """Read until every item is listed, or the time is up."""
+        """Read results until every item is listed or the time is over."""
         found: list[dict[str, Any]] = []
         until = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < until:
@@ -248,12 +284,12 @@
                 found.extend(page['results'])
                 if len(found) >= page['total']:
                     break
-            await asyncio.sleep(_READ_S)
+            await asyncio.sleep(_READ_INTERVAL_S)
         return found
 
 
 async def add_receiver(site: Site) -> Receiver:
-    """Have a site report usage; before its entries are started."""
+    """Add a receiver of usage reports; call it before entries start."""
     receiver = Receiver(at(_RECEIVER_PORT), site.clock)
     await receiver.start()
     site.receiver = receiver
@@ -261,14 +297,30 @@
 
 
 def play(scene: Callable[[Site], Awaitable[Any]]) -> Any:
-    """Run a scene on a new site; nothing may fail in the background."""
+    """Run a scene on a new deployment in virtual time.
+
+    Parameters
+    ----------
+    scene
+        A coroutine function that gets the deployment.
+
+    Returns
+    -------
+    Any
+        The result of the scene.
+
+    Raises
+    ------
+    AssertionError
+        Something has failed in the background.
+    """
     failures: list[Any] = []
-    outcome = run_virtual(_play(scene, failures))
+    outcome = run_virtual(_run_scene(scene, failures))
     assert not failures, failures
     return outcome
 
 
-async def _play(
+async def _run_scene(
     scene: Callable[[Site], Awaitable[Any]], failures: list[Any]
 ) -> Any:
     loop = asyncio.get_running_loop()
--- a/lab/site_routes.py
+++ b/lab/site_routes.py
@@ -1,4 +1,4 @@
-"""The routes of the deployment that tests run in virtual time."""
+"""Routes of the deployments that run in virtual time."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def usual_routes() -> list[dict[str, Any]]:
-    """Return the routes that a deployment begins with."""
+    """Return the routes of a deployment's first manifest."""
     return [
         route(HOST, JOB_PATH, 'rollout', ENGINES, **_JOB_BOUNDS),
         plain_route('/book/', 'safe', 2),
--- a/lab/spans.py
+++ b/lab/spans.py
@@ -1,4 +1,4 @@
-"""How long faults last."""
+"""Durations of faults."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 if TYPE_CHECKING:
     import random
 
-#: From what a retry covers up to what only a takeover does.
+#: Retries cover the shortest faults; only a takeover covers the longest ones.
 _SHORTEST_S: Final = 0.2
 _LONGEST_S: Final = 3
 
 
 def span_s(rng: random.Random) -> float:
-    """Draw how long a fault lasts, in seconds."""
+    """Return a random duration of a fault in seconds."""
     return rng.uniform(_SHORTEST_S, _LONGEST_S)
--- a/lab/store.py
+++ b/lab/store.py
@@ -1,4 +1,4 @@
-"""A model of the platform's store, with its faults."""
+"""A model of the platform's store, with switches for faults."""
 
 from __future__ import annotations
 
@@ -22,34 +22,36 @@
     from bergamotdoor.settings.document import Address
 
 LIMITS: Final = HttpLimits()
+#: The time that each call takes unless a test or fault sets another one.
 ANSWER_S: Final = 0.004
-#: Less than this is no time: virtual clocks have a resolution.
-_TICK_S: Final = 0.0005
+#: A shorter rest of a time limit counts as none, since virtual clocks have a
+#: limited resolution.
+_CLOCK_RESOLUTION_S: Final = 0.0005
 #: Small, so that listings of a test's objects take several pages.
-_PAGE: Final = 50
-#: When a write that was delayed is done.
-_LATE_S: Final = 2
+_PAGE_SIZE: Final = 50
+#: The time after which a delayed write is applied.
+_WRITE_DELAY_S: Final = 2
 _MAX_BODY_BYTES: Final = 10_000_000
 #: Paths are ``/-/objects/KIND/NAME``.
-_PREFIX_PARTS: Final = 3
+_PATH_PREFIX_PARTS: Final = 3
 
 
 class StoreMode(enum.Enum):
-    """How the store takes calls."""
+    """How the store responds to calls."""
 
     UP = 'up'
-    #: Refuses with 503.
+    #: Rejects calls with 503.
     BUSY = 'busy'
-    #: Takes calls and never answers.
+    #: Accepts calls and never responds.
     SILENT = 'silent'
 
 
 class LostError(Exception):
-    """The connection ends before a whole answer."""
+    """The connection ends before the response is complete."""
 
 
-class _Query(NamedTuple):
-    """What a reading call asks for."""
+class _ReadQuery(NamedTuple):
+    """Parameters of a read request."""
 
     kind: str
     name: str
@@ -59,67 +61,68 @@
 
 
 class Store:
-    """Serves objects over the protocol, with switches for faults."""
+    """A server of objects over the protocol, with switches for faults."""
 
     def __init__(self, address: Address, clock: Clock) -> None:
         self.address = address
         self.table = ObjectTable()
         self.calls: list[str] = []
         self.mode = StoreMode.UP
-        #: Watches hear nothing while this is set.
+        #: While this is set, watches report no changes.
         self.deaf = False
-        #: How many of the next writes are done and not answered.
+        #: The number of next writes that are applied but get no response.
         self.lose_answers = 0
-        #: How many of the next writes get no answer and are done later.
+        #: The number of next writes that get no response and are applied
+        #: later.
         self.delay_writes = 0
-        #: How long each call takes.
+        #: The time that each call takes.
         self.answer_s = ANSWER_S
-        #: How long a listing takes beyond other calls.
+        #: The extra time that each listing takes.
         self.list_s = float()
-        #: The same for single kinds.
+        #: The extra time that listings of a kind take, by kind.
         self.kind_s: dict[str, float] = {}
-        self._changed = asyncio.Event()
-        self._cut = asyncio.Event()
-        self._ended = asyncio.Event()
+        self._objects_changed = asyncio.Event()
+        self._watches_cut = asyncio.Event()
+        self._watches_ended = asyncio.Event()
         self._server = HttpServer(address, self.handle, LIMITS, clock, 'store')
 
     async def start(self) -> None:
-        """Serve."""
+        """Start the server."""
         await self._server.start()
 
     async def stop(self) -> None:
-        """End all calls."""
+        """Stop the server and end all calls."""
         self.cut_watches()
         await self._server.stop(dt.timedelta())
 
     def put(self, kind: str, name: str, spec: object) -> Stored:
         """Write an object as operators, trainers and engines do."""
         stored = self.table.put(kind, name, spec)
-        self._wake()
+        self._notify_watches()
         return stored
 
     def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
         self.table.remove(kind, name)
-        self._wake()
+        self._notify_watches()
 
     def drop_history(self) -> None:
-        """Forget what has changed, and cut the watches that wait."""
+        """Drop the history of changes, and cut open watches."""
         self.table.forget()
         self.cut_watches()
 
     def cut_watches(self) -> None:
-        """Break the connections of the watches that wait."""
-        self._cut.set()
-        self._cut = asyncio.Event()
+        """Break the connections of open watches."""
+        self._watches_cut.set()
+        self._watches_cut = asyncio.Event()
 
     def end_watches(self) -> None:
-        """End the watches that wait, as if their time were up."""
-        self._ended.set()
-        self._ended = asyncio.Event()
+        """End open watches as if their time limit had passed."""
+        self._watches_ended.set()
+        self._watches_ended = asyncio.Event()
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call of the protocol."""
+        """Respond to one call of the protocol."""
         self.calls.append(f'{request.method} {request.target}')
         body = await request.read_body(_MAX_BODY_BYTES)
         if self.mode is StoreMode.SILENT:
@@ -128,12 +131,14 @@
         if self.mode is StoreMode.BUSY:
             return HttpResponse(status=int(HTTPStatus.SERVICE_UNAVAILABLE))
         path, _, query = request.target.partition('?')
-        parts = tuple(unquote(part) for part in path.split('/')[_PREFIX_PARTS:])
+        parts = tuple(
+            unquote(part) for part in path.split('/')[_PATH_PREFIX_PARTS:]
+        )
         if request.method == 'GET':
-            return await self._read(_parse(parts, query))
+            return await self._read(_parse_query(parts, query))
         return self._write(WriteCall(request.method, parts, body))
 
-    async def _read(self, query: _Query) -> HttpResponse:
+    async def _read(self, query: _ReadQuery) -> HttpResponse:
         known = self.table.of_kind(query.kind)
         if query.name:
             stored = known.get(query.name)
@@ -144,11 +149,12 @@
             return await self._watch(query.kind, query.since, query.wait_s)
         names = sorted(name for name in known if name > query.after)
         page = {
-            'items': [known[name] for name in names[:_PAGE]],
-            'more_pages': len(names) > _PAGE,
+            'items': [known[name] for name in names[:_PAGE_SIZE]],
+            'more_pages': len(names) > _PAGE_SIZE,
             'as_of': self.table.revision,
         }
-        # The page is as old as its way is long when it arrives.
+        # The page is built before the delay, so it can be outdated when it
+        # arrives.
         listed = answer(HTTPStatus.OK, page)
         await asyncio.sleep(self.list_s + self.kind_s.get(query.kind, 0))
         return listed
@@ -158,46 +164,46 @@
     ) -> HttpResponse:
         if since < self.table.forgotten:
             return answer(HTTPStatus.GONE)
-        cut = asyncio.create_task(self._cut.wait())
-        ended = asyncio.create_task(self._ended.wait())
+        cut = asyncio.create_task(self._watches_cut.wait())
+        ended = asyncio.create_task(self._watches_ended.wait())
         try:
-            await self._wait(kind, since, wait_s, (cut, ended))
+            await self._wait_for_changes(kind, since, wait_s, (cut, ended))
             if cut.done():
                 return cut_off()
         finally:
             cut.cancel()
             ended.cancel()
         changes = {
-            'events': self._told(kind, since),
+            'events': self._visible_changes(kind, since),
             'as_of': self.table.revision,
         }
         return answer(HTTPStatus.OK, changes)
 
-    async def _wait(
+    async def _wait_for_changes(
         self,
         kind: str,
         since: int,
         wait_s: float,
         ends: tuple[asyncio.Task[bool], ...],
     ) -> None:
-        """Wait for news, an end of the watch or its time."""
+        """Wait for changes, an end of the watch or its time limit."""
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_s
-        while not self._told(kind, since):
+        while not self._visible_changes(kind, since):
             left_s = until - loop.time()
-            if left_s <= _TICK_S or any(end.done() for end in ends):
+            if left_s <= _CLOCK_RESOLUTION_S or any(end.done() for end in ends):
                 return
-            news = asyncio.create_task(self._changed.wait())
+            change = asyncio.create_task(self._objects_changed.wait())
             try:
                 await asyncio.wait(
-                    (news, *ends),
+                    (change, *ends),
                     timeout=left_s,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
             finally:
-                news.cancel()
+                change.cancel()
 
-    def _told(self, kind: str, since: int) -> list[Stored]:
+    def _visible_changes(self, kind: str, since: int) -> list[Stored]:
         if self.deaf:
             return []
         return [
@@ -209,52 +215,52 @@
         if self.delay_writes:
             self.delay_writes -= 1
             loop = asyncio.get_running_loop()
-            loop.call_later(_LATE_S, self._apply, call)
+            loop.call_later(_WRITE_DELAY_S, self._apply_write, call)
             return cut_off()
-        done = self._apply(call)
+        response = self._apply_write(call)
         if self.lose_answers:
             self.lose_answers -= 1
             return cut_off()
-        return done
+        return response
 
-    def _apply(self, call: WriteCall) -> HttpResponse:
-        found = self.table.write(call)
-        self._wake()
-        if found.refusal is not None:
-            return answer(HTTPStatus(found.refusal.value), found.stored)
-        return answer(HTTPStatus.OK, found.stored)
+    def _apply_write(self, call: WriteCall) -> HttpResponse:
+        outcome = self.table.write(call)
+        self._notify_watches()
+        if outcome.refusal is not None:
+            return answer(HTTPStatus(outcome.refusal.value), outcome.stored)
+        return answer(HTTPStatus.OK, outcome.stored)
 
-    def _wake(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def _notify_watches(self) -> None:
+        self._objects_changed.set()
+        self._objects_changed = asyncio.Event()
 
 
 def answer(status: HTTPStatus, body: object = None) -> HttpResponse:
-    """Return an answer in JSON."""
+    """Return a response with a JSON body."""
     return HttpResponse(status=int(status), body=json.dumps(body).encode())
 
 
 def cut_off() -> HttpResponse:
-    """Return an answer that ends with its connection before it is whole."""
+    """Return a response whose connection ends before it is complete."""
     return HttpResponse(
         status=int(HTTPStatus.OK),
         headers=Headers.of([('content-length', '100')]),
-        body=_broken(),
+        body=_truncated_body(),
     )
 
 
-def _parse(parts: tuple[str, ...], query: str) -> _Query:
-    asked = {name: found[0] for name, found in parse_qs(query).items()}
-    since = asked.get('watch')
-    return _Query(
+def _parse_query(parts: tuple[str, ...], query: str) -> _ReadQuery:
+    values_by_name = {name: found[0] for name, found in parse_qs(query).items()}
+    since = values_by_name.get('watch')
+    return _ReadQuery(
         kind=parts[0],
         name=parts[1] if len(parts) > 1 else '',
-        after=asked.get('after', ''),
+        after=values_by_name.get('after', ''),
         since=None if since is None else int(since),
-        wait_s=int(asked.get('wait_ms', 0)) / 1000,
+        wait_s=int(values_by_name.get('wait_ms', 0)) / 1000,
     )
 
 
-async def _broken() -> AsyncIterator[bytes]:
+async def _truncated_body() -> AsyncIterator[bytes]:
     yield b'{'
     raise LostError
--- a/lab/store_faults.py
+++ b/lab/store_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the store, and of the ways to it."""
+"""Faults of the store and of the links to it."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
     from lab.deployment import Deployment
 
-_MOST_LOST: Final = 4
-_MOST_LATE: Final = 2
+_MAX_LOST_RESPONSES: Final = 4
+_MAX_DELAYED_WRITES: Final = 2
 _FOREIGN_NAMES: Final = ('a-foreign', 'foreign')
-_ENTRIES_OF_UPSTREAMS: Final = 'servers'
-_KINDS: Final = (
+_REGISTRATIONS: Final = 'servers'
+_WATCHED_KINDS: Final = (
     'config',
-    _ENTRIES_OF_UPSTREAMS,
+    _REGISTRATIONS,
     'versions',
     'retirements',
     'entries',
     'jobs',
 )
-_FOREIGN: Final[tuple[Any, ...]] = (
+_FOREIGN_SPECS: Final[tuple[Any, ...]] = (
     'AAECAwQ=',
     {},
     [1],
@@ -37,7 +37,7 @@
 
 
 class StoreFaults:
-    """Breaks what every process depends on."""
+    """Faults of the store, on which all processes depend."""
 
     def __init__(self, deployment: Deployment, rng: random.Random) -> None:
         self._deployment = deployment
@@ -45,46 +45,46 @@
         self._rng = rng
 
     async def break_way(self) -> None:
-        """Break one process's way to the store."""
-        names = [one.name for one in self._deployment.processes]
-        ways = self._deployment.ways_between(names, {STORE})
-        await break_way(self._rng.choice(ways), self._rng)
+        """Break the link of one process to the store."""
+        names = [process.name for process in self._deployment.processes]
+        proxies = self._deployment.ways_between(names, {STORE})
+        await break_way(self._rng.choice(proxies), self._rng)
 
     async def send_away(self) -> None:
-        """Refuse everyone, or answer nobody."""
+        """Have the store reject all calls, or respond to none."""
         self._store.mode = self._rng.choice((StoreMode.BUSY, StoreMode.SILENT))
         await asyncio.sleep(span_s(self._rng))
         self._store.mode = StoreMode.UP
 
     async def lose_answers(self) -> None:
-        """Lose the answers of writes, and do some of them later."""
-        self._store.lose_answers += self._rng.randint(0, _MOST_LOST)
-        self._store.delay_writes += self._rng.randint(0, _MOST_LATE)
+        """Lose the responses of some writes, and delay some other writes."""
+        self._store.lose_answers += self._rng.randint(0, _MAX_LOST_RESPONSES)
+        self._store.delay_writes += self._rng.randint(0, _MAX_DELAYED_WRITES)
 
     async def forget(self) -> None:
-        """Drop the history and cut the watches."""
+        """Drop the history of changes and cut the watches."""
         self._store.drop_history()
 
     async def deafen(self) -> None:
-        """Tell watches of nothing, then drop the history and cut them."""
+        """Hide changes from watches, then drop the history and cut them."""
         self._store.deaf = True
         await asyncio.sleep(span_s(self._rng))
         self._store.deaf = False
         self._store.drop_history()
 
     async def put_foreign(self) -> None:
-        """Put what is no object of ours under a kind that is followed.
+        """Write an object that the product can't read, of a watched kind.
 
-        An upstream's own entry is overwritten at times; its next one mends
-        that.
+        An upstream's registration is overwritten at times; the upstream
+        writes it again when it registers next.
         """
-        kind = self._rng.choice(_KINDS)
+        kind = self._rng.choice(_WATCHED_KINDS)
         name = self._rng.choice(_FOREIGN_NAMES)
-        if kind == _ENTRIES_OF_UPSTREAMS:
+        if kind == _REGISTRATIONS:
             upstream = self._rng.choice(self._deployment.upstreams)
             name = self._rng.choice((name, upstream.name))
-        self._store.put(kind, name, self._rng.choice(_FOREIGN))
+        self._store.put(kind, name, self._rng.choice(_FOREIGN_SPECS))
 
     async def put_manifest(self) -> None:
-        """Put the next manifest in force."""
+        """Write the next manifest to the store."""
         self._deployment.put_manifest()
--- a/lab/trainer.py
+++ b/lab/trainer.py
@@ -1,4 +1,4 @@
-"""A trainer that runs steps and reads them."""
+"""A trainer that submits steps and reads their results."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
     from lab.deployment import Deployment
     from lab.promises import Promises
 
-_MOST_EVENTS: Final = 40
-_READ_S: Final = 0.3
-#: How many steps are open at a time.
-_AHEAD: Final = 2
+_MAX_EVENTS: Final = 40
+_READ_PAUSE_S: Final = 0.3
+#: The number of steps that are open at a time.
+_OPEN_STEPS: Final = 2
 #: The share of steps with an item whose score call always fails.
-_HOPELESS_SHARE: Final = 0.2
+_FAILING_SCORE_SHARE: Final = 0.2
 
 
 class Trainer:
-    """Hands in steps, reads them at any entry, names the next version.
+    """A trainer that writes a new version of the weights after each step.
 
     Parameters
     ----------
     deployment
-        Where the entries are.
+        The deployment with the entries.
     promises
-        Takes what was seen.
+        The collector of checks.
     rng
-        Draws the steps, and where they are read.
+        The random source for steps and for the entries to use.
     groups
-        How many a step has.
+        The number of groups in each step.
     """
 
     def __init__(
@@ -56,26 +56,26 @@
         self._groups = groups
         self._client = new_client()
         self.steps: list[Step] = []
-        #: Set once no new step should begin.
+        #: Set to ``True`` so that no new step begins.
         self.ending = False
 
     @property
     def whole(self) -> int:
-        """How many steps were read to their end."""
+        """The number of steps of which all results were read."""
         return sum(1 for step in self.steps if step.whole)
 
     async def run(self) -> None:
-        """Run steps until the end, several at a time."""
+        """Run several steps at a time until `ending` is set."""
         async with asyncio.TaskGroup() as group:
-            for _ in range(_AHEAD):
-                group.create_task(self._train())
+            for _ in range(_OPEN_STEPS):
+                group.create_task(self._run_steps())
 
     def open_steps(self) -> Iterator[Step]:
-        """Return the steps that were taken in and are not whole."""
+        """Return the accepted steps of which results are still unread."""
         return (step for step in self.steps if step.kept and not step.whole)
 
     async def check_again(self) -> None:
-        """Read every step from its start at every entry."""
+        """Read the first page of every accepted step at every entry."""
         for entry in self._deployment.entries:
             for step in self.steps:
                 if step.kept:
@@ -86,33 +86,35 @@
         await self._client.close()
         await self.reader.close()
 
-    async def _train(self) -> None:
+    async def _run_steps(self) -> None:
         while not self.ending:
-            step = self._begin()
-            await self._hand_in(step)
+            step = self._new_step()
+            await self._submit_step(step)
             while not step.whole:
-                await self.reader.read(step, self._entry(), len(step.positions))
-                await asyncio.sleep(_READ_S)
+                await self.reader.read(
+                    step, self._choose_entry(), len(step.positions)
+                )
+                await asyncio.sleep(_READ_PAUSE_S)
             self._deployment.publish()
 
-    def _begin(self) -> Step:
+    def _new_step(self) -> Step:
         lengths = [
-            self._rng.randint(1, _MOST_EVENTS)
+            self._rng.randint(1, _MAX_EVENTS)
             for _ in range(self._groups * GROUP_SIZE)
         ]
-        least = max(self._deployment.version - 1, 1)
-        step = Step(len(self.steps), least, lengths)
+        min_version = max(self._deployment.version - 1, 1)
+        step = Step(len(self.steps), min_version, lengths)
         self.steps.append(step)
-        if self._rng.random() < _HOPELESS_SHARE:
-            self._make_hopeless(self._rng.choice(tuple(step.lengths)))
+        if self._rng.random() < _FAILING_SCORE_SHARE:
+            self._fail_score_call(self._rng.choice(tuple(step.lengths)))
         return step
 
-    def _make_hopeless(self, item: str) -> None:
-        """Have the score call of an item fail, whoever runs it."""
+    def _fail_score_call(self, item: str) -> None:
+        """Have the score call of an item fail at every service."""
         for service in self._deployment.services:
             service.always_fail.add(score_id(item))
 
-    async def _hand_in(self, step: Step) -> None:
+    async def _submit_step(self, step: Step) -> None:
         call = Call(
             'POST',
             f'{STEP_PATH}{step.job}',
@@ -120,13 +122,13 @@
             ((REQUEST_ID, step.job),),
         )
         while not step.kept:
-            reply = await self._client.send(self._entry(), call)
+            reply = await self._client.send(self._choose_entry(), call)
             step.kept = (
                 reply is not None and reply.status == HTTPStatus.ACCEPTED
             )
             if not step.kept:
-                await asyncio.sleep(_READ_S)
+                await asyncio.sleep(_READ_PAUSE_S)
         self._deployment.steps.sizes[step.job] = len(step.lengths)
 
-    def _entry(self) -> Address:
+    def _choose_entry(self) -> Address:
         return self._rng.choice(self._deployment.entries).front
--- a/lab/upstreams.py
+++ b/lab/upstreams.py
@@ -22,91 +22,93 @@
     from bergamotdoor.clock import Clock
     from bergamotdoor.settings.document import Address
 
+#: The time in which an engine generates an event.
 EVENT_S: Final = 0.04
-_WORK_S: Final = 0.03
-_LOAD_S: Final = 0.9
-#: When an order that was delayed is taken.
-_LATE_S: Final = 3
-#: How often a stream looks whether the weights are loaded.
-_PAUSE_S: Final = 0.01
+_DEFAULT_WORK_S: Final = 0.03
+_DEFAULT_LOAD_S: Final = 0.9
+#: The time after which a delayed order is accepted.
+_ORDER_DELAY_S: Final = 3
+#: The interval at which a stream checks whether the weights are loaded.
+_LOAD_POLL_INTERVAL_S: Final = 0.01
 _MAX_BODY_BYTES: Final = 10_000_000
-_PREFIX: Final = 'x-bergamotdoor-'
+_HEADER_PREFIX: Final = 'x-bergamotdoor-'
 _MODEL: Final = 'm'
-#: Some moment; a start again comes later.
-_BORN_MS: Final = 1_700_000_000_000
+#: The start time of each upstream, an arbitrary one; restarts are later.
+_FIRST_START_MS: Final = 1_700_000_000_000
 _MS_PER_S: Final = 1000
 
 
 class UpstreamMode(enum.Enum):
-    """How an upstream takes requests."""
+    """How an upstream responds to requests."""
 
     GOOD = 'good'
-    #: Refuses, and says that it ran nothing.
+    #: Rejects requests, with the statement that they did not run.
     FULL = 'full'
     #: Runs a request and breaks its connection.
     BROKEN = 'broken'
-    #: Answers 500.
+    #: Responds with 500.
     FAILING = 'failing'
-    #: Takes requests and never answers.
+    #: Accepts requests and never responds.
     DARK = 'dark'
-    #: Answers 504: it ran out of time.
+    #: Responds with 504: the request ran out of time.
     LATE = 'late'
-    #: Says that the item can never be done.
+    #: Responds with 422: the item can never run.
     IMPOSSIBLE = 'impossible'
 
 
 class Seen(NamedTuple):
-    """A request that was begun."""
+    """A request that an upstream accepted."""
 
     request: str
     headers: dict[str, str]
     target: str = ''
     body: bytes = b''
-    #: When, in the event loop's time.
+    #: The time of its arrival on the event loop's clock.
     at_s: float = 0
 
 
 class Upstream:
-    """Runs requests, and remembers what it was sent."""
+    """A model of a service that runs requests and records them."""
 
     def __init__(
         self, name: str, service: str, address: Address, clock: Clock
     ) -> None:
-        #: The incarnation; another one refuses requests meant for this.
+        #: The id of the incarnation; requests that expect another one are
+        #: rejected.
         self.name = name
         self.service = service
         self.address = address
-        #: When it started, as it registers that; zero is not told.
-        self.born_ms = _BORN_MS
+        #: The registered start time; 0 for an upstream that registers none.
+        self.born_ms = _FIRST_START_MS
         self.seen: list[Seen] = []
-        #: Requests that run now.
+        #: Ids of the requests that run now.
         self.running: set[str] = set()
         self.mode = UpstreamMode.GOOD
-        #: Requests that fail whenever they run.
+        #: Ids of the requests that fail whenever they run.
         self.always_fail: set[str] = set()
-        #: What proved the good answers to each request.
+        #: Stamps of the successful responses, by the request's id.
         self._proofs: dict[str, set[str]] = {}
-        #: How often each request was answered with 500.
+        #: How often each request got a response with 500, by its id.
         self.failures: Counter[str] = Counter()
-        self.work_s = _WORK_S
+        self.work_s = _DEFAULT_WORK_S
         self._clock = clock
         self._server = self._new_server()
 
     @functools.cached_property
     def crashes(self) -> Crashes:
-        """The requests under which it ends."""
+        """The requests that crash the upstream."""
         return Crashes()
 
     async def start(self) -> None:
-        """Serve."""
+        """Start the server."""
         await self._server.start()
 
     async def stop(self) -> None:
-        """End all requests."""
+        """Stop the server and end all requests."""
         await self._server.stop(dt.timedelta())
 
     def registration(self, **extra: Any) -> dict[str, Any]:
-        """Return what it registers in the store."""
+        """Return the registration for the store."""
         return {
             'service': self.service,
             'address': written(self.address),
@@ -121,11 +123,20 @@
         }
 
     def start_told(self) -> dict[str, int]:
-        """Return what it tells of its start; older ones tell nothing."""
+        """Return the field with the start time, if it is registered.
+
+        Older versions of upstreams register no start time.
+        """
         return {'born': self.born_ms} if self.born_ms else {}
 
     async def restart(self, down_s: float) -> None:
-        """End all requests and start again under the same name."""
+        """End all requests and start again under the same name.
+
+        Parameters
+        ----------
+        down_s
+            How long the upstream is down.
+        """
         await self.stop()
         await asyncio.sleep(down_s)
         self.running.clear()
@@ -134,33 +145,35 @@
         await self._server.start()
 
     def fields(self, request_id: str) -> list[tuple[str, str]]:
-        """Return the header fields of an answer."""
+        """Return the header fields of a response."""
         return [
-            (f'{_PREFIX}request-id', request_id),
-            (f'{_PREFIX}server-stamp', self.stamp(request_id)),
-            (f'{_PREFIX}server-load', f'{len(self.running)},0,4'),
+            (f'{_HEADER_PREFIX}request-id', request_id),
+            (f'{_HEADER_PREFIX}server-stamp', self.stamp(request_id)),
+            (f'{_HEADER_PREFIX}server-load', f'{len(self.running)},0,4'),
         ]
 
     def proofs(self, request_id: str) -> set[str]:
-        """Return what proved the good answers to a request."""
+        """Return the stamps of all successful responses to a request."""
         return self._proofs.get(request_id, set())
 
     def stamp(self, request_id: str) -> str:
-        """Return the proof of an answer."""
+        """Return the stamp that proves which upstream ran a request."""
         return f'proof of {self.name} {request_id}'
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Run one request, as the mode says."""
+        """Handle one request as the mode says."""
         headers = {field.name: field.value for field in request.headers}
-        request_id = headers.get(f'{_PREFIX}request-id', '')
+        request_id = headers.get(f'{_HEADER_PREFIX}request-id', '')
         body = await request.read_body(_MAX_BODY_BYTES)
-        expected = headers.get(f'{_PREFIX}expect-instance', self.name)
+        expected = headers.get(f'{_HEADER_PREFIX}expect-instance', self.name)
         if expected != self.name:
-            return _refused(
+            return _rejection(
                 HTTPStatus.MISDIRECTED_REQUEST, 'instance-id', self.name
             )
         if self.mode is UpstreamMode.FULL:
-            return _refused(HTTPStatus.SERVICE_UNAVAILABLE, 'not-executed', '1')
+            return _rejection(
+                HTTPStatus.SERVICE_UNAVAILABLE, 'not-executed', '1'
+            )
         loop = asyncio.get_running_loop()
         self.seen.append(
             Seen(request_id, headers, request.target, body, loop.time())
@@ -180,12 +193,12 @@
     async def run(
         self, request: HttpRequest, headers: dict[str, str], body: bytes
     ) -> HttpResponse:
-        """Answer a request that was taken."""
+        """Run a request that was accepted; return the response."""
         await asyncio.sleep(self.work_s)
         if self.mode is UpstreamMode.BROKEN:
             return cut_off()
         status = HTTPStatus.OK
-        request_id = headers.get(f'{_PREFIX}request-id', '')
+        request_id = headers.get(f'{_HEADER_PREFIX}request-id', '')
         failing = self.mode is UpstreamMode.FAILING
         if failing or request_id in self.always_fail:
             self.failures[request_id] += 1
@@ -209,7 +222,7 @@
 
 
 class Engine(Upstream):
-    """Generates as many events as the item's body says."""
+    """A model of an engine; an item's body gives its number of events."""
 
     def __init__(
         self, name: str, service: str, address: Address, clock: Clock
@@ -218,31 +231,32 @@
         self.version = 1
         self.event_s = EVENT_S
         self.orders: list[dict[str, Any]] = []
-        #: When the last event of each item was made.
+        #: When the last event of each item was generated, by the item's id.
         self.made_at_s: dict[str, float] = {}
         self.loading = False
-        #: How many of the next orders get no answer and are done later.
+        #: The number of next orders that get no response and are accepted
+        #: later.
         self.late_orders = 0
-        #: A stream breaks off behind so many events; -1 is never.
+        #: The number of events after which a stream breaks; -1 for never.
         self.break_after = -1
-        self.load_s = _LOAD_S
-        #: How often it was started.
-        self._starts = 1
+        self.load_s = _DEFAULT_LOAD_S
+        #: How often the engine was started.
+        self._start_count = 1
 
     def registration(self, **extra: Any) -> dict[str, Any]:
-        """Return what it registers in the store."""
+        """Return the registration for the store, with the loaded model."""
         models = [{'name': _MODEL, 'version': self.version, 'adapters': []}]
         return super().registration(models=models, **extra)
 
     async def restart(self, down_s: float) -> None:
-        """Start again: with its weights, and nothing else of before."""
+        """Restart the engine; only its weights stay as they were."""
         self.orders.clear()
         self.loading = False
-        self._starts += 1
+        self._start_count += 1
         await super().restart(down_s)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer its agent, or run an item."""
+        """Respond to the engine's agent, or run an item."""
         if request.target == '/-/report':
             report = {
                 'models': [{'name': _MODEL, 'version': self.version}],
@@ -257,14 +271,14 @@
             )
         if request.target == '/-/order':
             order = json.loads(await request.read_body(_MAX_BODY_BYTES))
-            return self._ordered(order)
+            return self._handle_order(order)
         return await super().handle(request)
 
     async def run(
         self, request: HttpRequest, headers: dict[str, str], body: bytes
     ) -> HttpResponse:
         """Stream the events of an item."""
-        request_id = headers[f'{_PREFIX}request-id']
+        request_id = headers[f'{_HEADER_PREFIX}request-id']
         if self.mode is UpstreamMode.FAILING:
             self.failures[request_id] += 1
             return HttpResponse(status=int(HTTPStatus.INTERNAL_SERVER_ERROR))
@@ -274,78 +288,80 @@
         fields = [
             *self.fields(request_id),
             ('content-type', 'text/event-stream'),
-            (f'{_PREFIX}weight-versions', str(self.version)),
+            (f'{_HEADER_PREFIX}weight-versions', str(self.version)),
         ]
         return HttpResponse(
             status=int(HTTPStatus.OK),
             headers=Headers.of(fields),
-            body=self._events(request_id, first, int(body)),
+            body=self._stream_events(request_id, first, int(body)),
         )
 
-    def _ordered(self, order: dict[str, Any]) -> HttpResponse:
+    def _handle_order(self, order: dict[str, Any]) -> HttpResponse:
         if self.late_orders:
             self.late_orders -= 1
             loop = asyncio.get_running_loop()
-            loop.call_later(_LATE_S, self._accept, order)
+            loop.call_later(_ORDER_DELAY_S, self._accept_order, order)
             return cut_off()
-        return HttpResponse(status=int(self._accept(order)))
+        return HttpResponse(status=int(self._accept_order(order)))
 
-    def _accept(self, order: dict[str, Any]) -> HTTPStatus:
+    def _accept_order(self, order: dict[str, Any]) -> HTTPStatus:
         if self.loading or order['expected'] != len(self.orders):
             return HTTPStatus.CONFLICT
         self.orders.append(order)
         self.loading = True
         loop = asyncio.get_running_loop()
         loop.call_later(
-            self.load_s, self._loaded, order['version'], self._starts
+            self.load_s, self._finish_load, order['version'], self._start_count
         )
         return HTTPStatus.ACCEPTED
 
-    def _loaded(self, version: int, starts: int) -> None:
-        # A load that an earlier start began ended with it.
-        if starts == self._starts:
+    def _finish_load(self, version: int, start_count: int) -> None:
+        # A load that began before a restart has ended with the restart.
+        if start_count == self._start_count:
             self.version = version
             self.loading = False
 
-    async def _events(
+    async def _stream_events(
         self, request_id: str, first: int, count: int
     ) -> AsyncIterator[bytes]:
         version = self.version
         self.running.add(request_id)
         try:
             for number in range(first, count + 1):
-                await self._generate()
+                await self._generate_event()
                 if number - first == self.break_after:
                     yield b'id: '
                     raise LostError
                 event = f'id: {number}\ndata: {request_id}/{number}\n\n'
                 if self.version != version:
                     version = self.version
-                    event = f'{_PREFIX}weight-versions: {version}\n{event}'
+                    event = (
+                        f'{_HEADER_PREFIX}weight-versions: {version}\n{event}'
+                    )
                 loop = asyncio.get_running_loop()
                 self.made_at_s[request_id] = loop.time()
                 yield event.encode()
         finally:
             self.running.discard(request_id)
 
-    async def _generate(self) -> None:
+    async def _generate_event(self) -> None:
         await asyncio.sleep(self.event_s)
         while self.loading:
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_LOAD_POLL_INTERVAL_S)
 
 
-def _refused(status: HTTPStatus, name: str, text: str) -> HttpResponse:
-    headers = Headers.of([(f'{_PREFIX}{name}', text)])
+def _rejection(status: HTTPStatus, name: str, text: str) -> HttpResponse:
+    headers = Headers.of([(f'{_HEADER_PREFIX}{name}', text)])
     return HttpResponse(status=int(status), headers=headers)
 
 
 def written(address: Address) -> str:
-    """Write an address as registrations do."""
+    """Return an address in the form that registrations have."""
     return f'{address.ip}:{address.port}'
 
 
 def register(store: Store, upstream: Upstream, **extra: Any) -> None:
-    """Register an upstream, unless it is registered just so."""
+    """Register an upstream unless the store has the same registration."""
     registration = upstream.registration(**extra)
     if store.table.specs('servers').get(upstream.name) != registration:
         store.put('servers', upstream.name, registration)
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time: hours of a deployment in seconds, the same every run."""
+"""Virtual time, in which hours take seconds and runs are repeatable."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run `work` to its end in virtual time; sockets are in memory."""
+    """Run a coroutine in virtual time and with sockets in memory."""
     loop = async_solipsism.EventLoop()
     try:
         asyncio.set_event_loop(loop)
--- a/lab/vm.py
+++ b/lab/vm.py
@@ -1,8 +1,9 @@
-"""Runs the product as on a VM whose ways to the others can be broken.
+"""The product's command line, with connections redirected to proxies.
 
-``python -m lab.vm WORDS`` is ``python -m bergamotdoor WORDS``, but for this:
-a connection to an address that `WAYS_VARIABLE` names goes to another one, as
-a network would lead it. The product knows nothing of that.
+``python -m lab.vm WORDS`` runs ``python -m bergamotdoor WORDS``, but
+connections to the addresses that `WAYS_VARIABLE` names are made to other
+addresses. The product's code does not notice the difference, so links between
+its processes can be broken.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 if __name__ == '__main__':
     take_signals()
 
-# Behind the signals, as in the product's own program.
+# Imported after the signal handlers are set, as in the product's own program.
 import json  # noqa: E402
 import os  # noqa: E402
 import runpy  # noqa: E402
@@ -23,30 +24,31 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-#: Names a JSON object: from an address to the one that is taken for it.
+#: The environment variable with a JSON object that maps addresses to those to
+#: connect to instead.
 WAYS_VARIABLE: Final = 'LAB_WAYS'
 
 
-class _Socket(socket.socket):
-    """A socket that connects over the ways."""
+class _RedirectingSocket(socket.socket):
+    """A socket that redirects connections as an address map says."""
 
-    ways: ClassVar[Mapping[str, str]] = MappingProxyType({})
+    address_map: ClassVar[Mapping[str, str]] = MappingProxyType({})
 
     def connect(self, address: Any) -> None:
-        """Connect to what is named for an address, or to itself."""
+        """Connect to the mapped address, or to `address` if it has none."""
         ip, port = address[:2]
-        led = self.ways.get(f'{ip}:{port}')
-        if led is None:
+        target = self.address_map.get(f'{ip}:{port}')
+        if target is None:
             super().connect(address)
             return
-        there, _, led_port = led.partition(':')
-        super().connect((there, int(led_port)))
+        target_ip, _, target_port = target.partition(':')
+        super().connect((target_ip, int(target_port)))
 
 
 def lead(ways: Mapping[str, str]) -> None:
-    """Lead connections of this process over other addresses."""
-    _Socket.ways = ways
-    socket.socket = _Socket  # type: ignore[misc]
+    """Redirect the connections of this process to other addresses."""
+    _RedirectingSocket.address_map = ways
+    socket.socket = _RedirectingSocket  # type: ignore[misc]
 
 
 if __name__ == '__main__':
--- a/lab/wire.py
+++ b/lab/wire.py
@@ -1,4 +1,4 @@
-"""What operators and trainers write, as the platform's protocol has it."""
+"""Manifests and jobs in the form that the platform's protocol gives."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 DESKS: Final = 'desk'
 _MODEL_HEADER: Final = 'X-Bergamotdoor-Model'
 _HINT_HEADER: Final = 'X-Bergamotdoor-Length-Hint'
-#: Of an event, as the engines of a deployment make them.
-_TOKENS: Final = 58
+#: The number of tokens in an event that an engine of the lab generates.
+_TOKENS_PER_EVENT: Final = 58
 
 
 class JobItem(NamedTuple):
     """One item of a job."""
 
     item: str
-    #: In events.
+    #: The number of events.
     length: int
     group: str
-    #: Where its text is scored; empty for one that is taken as it is.
+    #: The path at which its text is scored; empty if it is not scored.
     score_path: str = ''
-    #: The trainer's guess at its length, in events; 0 is none.
+    #: The length that the trainer expects, in events; 0 for no hint.
     hint: int = 0
 
 
 def route(
     host: str, prefix: str, kind: str, service: str, **bounds: int
 ) -> dict[str, Any]:
-    """Return a route of a manifest, with its bounds."""
+    """Return a route of a manifest with its bounds."""
     return {
         'name': prefix,
         'host': host,
@@ -59,13 +59,25 @@
 def job_body(
     prefix: str, items: Iterable[JobItem], least: int, target_groups: int
 ) -> bytes:
-    """Return a job as a trainer hands it in; scored at the same host."""
+    """Return the body of a job as a trainer submits it.
+
+    Parameters
+    ----------
+    prefix
+        The prefix of the items' paths.
+    items
+        The items; their score calls are sent to the job's host.
+    least
+        The least version of the weights.
+    target_groups
+        The number of groups that the trainer waits for.
+    """
     job = {
         'step': 1,
         'model': MODEL,
         'min_version': least,
         'target_groups': target_groups,
-        'items': [_item(prefix, item) for item in items],
+        'items': [_item_entry(prefix, item) for item in items],
     }
     return json.dumps(job).encode()
 
@@ -75,7 +87,7 @@
     return f'score-{item}'
 
 
-def _item(prefix: str, item: JobItem) -> dict[str, Any]:
+def _item_entry(prefix: str, item: JobItem) -> dict[str, Any]:
     written: dict[str, Any] = {
         'id': item.item,
         'path': f'{prefix}{item.item}',
@@ -84,7 +96,7 @@
         'group': item.group,
     }
     if item.hint:
-        written['headers'][_HINT_HEADER] = str(item.hint * _TOKENS)
+        written['headers'][_HINT_HEADER] = str(item.hint * _TOKENS_PER_EVENT)
     if item.score_path:
         written['scorer_url'] = {
             'id': score_id(item.item),
