--- a/lab/deployment.py
+++ b/lab/deployment.py
@@ -45,7 +45,7 @@
 
 
 class Size:
-    """The numbers of entries, models and groups of a deployment."""
+    """The numbers of entries, engines, services and groups."""
 
     def __init__(
         self,
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -53,9 +53,9 @@
 
 #: In the order in which they are applied if no other kinds are.
 AIMED: Final = (Fault.OWNER_PAUSED, Fault.OWNER_CUT, Fault.STOP_SERIES)
-#: `Fault.ENDING_REQUEST` is drawn in this set only. In `RANDOM` it would
-#: change the faults that a seed gives, so that seeds which have failed would
-#: no longer repeat their runs.
+#: `Fault.ENDING_REQUEST` is drawn in this set only. Among the random faults it
+#: would change the faults that a seed gives, so that seeds which have failed
+#: would no longer repeat their runs.
 CRASHING: Final = (
     Fault.ENDING_REQUEST,
     Fault.KILL,
@@ -127,10 +127,10 @@
         Parameters
         ----------
         seconds
-            How long new faults begin. `AIMED` faults take seconds each, so
-            they go on until each kind was applied at least once.
+            How long new faults begin. Aimed faults take seconds each, so
+            they continue until each kind was applied at least once.
         kinds
-            The kinds to draw from; those of `AIMED` are applied in order.
+            The kinds to draw from; the aimed ones alone are applied in order.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
--- a/lab/site.py
+++ b/lab/site.py
@@ -235,7 +235,7 @@
         lengths
             The items' lengths in events, in one list for each group.
         least
-            The least version of the weights.
+            The least version of the weights that may generate the texts.
         score_path
             The path at which texts are scored, empty if they are not.
         """
--- a/lab/trainer.py
+++ b/lab/trainer.py
@@ -65,7 +65,7 @@
         return sum(1 for step in self.steps if step.whole)
 
     async def run(self) -> None:
-        """Run several steps at a time until `ending` is set."""
+        """Run several steps at a time until no new step should begin."""
         async with asyncio.TaskGroup() as group:
             for _ in range(_OPEN_STEPS):
                 group.create_task(self._run_steps())
@@ -75,7 +75,7 @@
         return (step for step in self.steps if step.kept and not step.whole)
 
     async def check_again(self) -> None:
-        """Read the first page of every accepted step at every entry."""
+        """Read every accepted step from position 0 at every entry."""
         for entry in self._deployment.entries:
             for step in self.steps:
                 if step.kept:
--- a/lab/vm.py
+++ b/lab/vm.py
@@ -1,9 +1,9 @@
 """The product's command line, with connections redirected to proxies.
 
 ``python -m lab.vm WORDS`` runs ``python -m bergamotdoor WORDS``, but
-connections to the addresses that `WAYS_VARIABLE` names are made to other
-addresses. The product's code does not notice the difference, so links between
-its processes can be broken.
+connections to the addresses that an environment variable names are made to
+other addresses. The product's code does not notice the difference, so links
+between its processes can be broken.
 """
 
 from __future__ import annotations
--- a/lab/wire.py
+++ b/lab/wire.py
@@ -1,4 +1,4 @@
-"""Manifests and jobs in the form that the platform's protocol gives."""
+"""Manifests and jobs in the format of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -68,9 +68,9 @@
     items
         The items; their score calls are sent to the job's host.
     least
-        The least version of the weights.
+        The least version of the weights that may generate the texts.
     target_groups
-        The number of groups that the trainer waits for.
+        The number of complete groups that the trainer waits for.
     """
     job = {
         'step': 1,
