--- a/bergamotdoor/agent/__init__.py
+++ b/bergamotdoor/agent/__init__.py
@@ -1,3 +1,3 @@
-"""Small processes: beside each engine, and on VMs with a disk."""
+"""Agent processes: one beside each engine, one on each VM with a disk."""
 
 from __future__ import annotations
--- a/bergamotdoor/agent/cleanup.py
+++ b/bergamotdoor/agent/cleanup.py
@@ -1,8 +1,9 @@
-"""Removes what nobody can ask for any more from the store.
+"""Removes jobs from the store that can no longer be read.
 
-Nothing of ours expires by itself: without this every job would stay in the
-store for good. A job is removed some time after it was first seen as ended,
-by this process's steady clock, so a clock that jumps removes nothing early.
+The objects of this service don't expire in the store: without this agent
+every job would stay there forever. A job is removed a fixed time after this
+process first saw it as ended. That time is measured with a monotonic clock,
+so a jump of the wall clock doesn't remove a job too early.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
     from bergamotdoor.objects.job_store import JobStore
     from bergamotdoor.types import JobId
 
-#: A stale list costs a tenth of a call, and a job may stay a little longer.
-_EVERY_S: Final = 30
-EVERY: Final = dt.timedelta(seconds=_EVERY_S)
-#: Beyond the time in which a job can be asked for: owners that have not
-#: heard of its end list nothing more by then.
-_MARGIN_S: Final = 60
-MARGIN: Final = dt.timedelta(seconds=_MARGIN_S)
+#: A short interval is cheap: a stale listing costs a tenth of a call. A job
+#: may stay in the store up to one interval longer than necessary.
+_INTERVAL_S: Final = 30
+EVERY: Final = dt.timedelta(seconds=_INTERVAL_S)
+#: Added to the time for which a job can be read. After it, an owner that
+#: has not learned of the job's end lists no more results.
+_RETENTION_MARGIN_S: Final = 60
+MARGIN: Final = dt.timedelta(seconds=_RETENTION_MARGIN_S)
 
 _log = logging.getLogger('bergamotdoor.agent')
 
@@ -35,40 +37,40 @@
     Parameters
     ----------
     store
-        Where jobs are kept.
+        The store of the jobs.
     retention
-        How long a job can be asked for.
+        The time for which a job can be read.
     clock
-        Tells how long a job has been seen as ended.
+        The clock that measures how long a job has been seen as ended.
     """
 
     def __init__(
         self, store: JobStore, retention: dt.timedelta, clock: Clock
     ) -> None:
         self._store = store
-        self._keep = retention + MARGIN
+        self._removal_delay = retention + MARGIN
         self._clock = clock
         self._ended_at: dict[JobId, dt.timedelta] = {}
 
     async def run(self) -> None:
-        """Look for jobs to remove until cancelled."""
+        """Remove old jobs, once per interval, until cancelled."""
         while True:
             await self._clock.sleep(EVERY)
-            await self._look()
+            await self._remove_old_jobs()
 
-    async def _look(self) -> None:
+    async def _remove_old_jobs(self) -> None:
         jobs = await self._store.all_jobs(stale=True)
         if isinstance(jobs, Outcome):
             return
         now = self._clock.elapsed()
-        seen = self._ended_at
+        known = self._ended_at
         self._ended_at = {
-            found.job: seen.get(found.job, now)
+            found.job: known.get(found.job, now)
             for found in jobs
             if found.status.ended
         }
         for job, ended_at in tuple(self._ended_at.items()):
-            if now - ended_at > self._keep:
+            if now - ended_at > self._removal_delay:
                 removed = await self._store.remove(job)
                 _log.info(
                     'agent: job %s ended long ago: %s',
--- a/bergamotdoor/agent/daemon.py
+++ b/bergamotdoor/agent/daemon.py
@@ -1,4 +1,4 @@
-"""Joins the parts of an agent process together."""
+"""The agent process: creates its parts and connects them."""
 
 from __future__ import annotations
 
@@ -25,14 +25,25 @@
     from bergamotdoor.settings.node import NodeSettings
     from bergamotdoor.types import ModelId, WeightVersion
 
-#: Versions of several models that are named together are taken together.
-_GATHER: Final = dt.timedelta(milliseconds=100)
+#: Versions of several models that are published within this time are
+#: applied in one batch.
+_BATCH_TIME: Final = dt.timedelta(milliseconds=100)
 
 _log = logging.getLogger('bergamotdoor.agent')
 
 
 class AgentDaemon:
-    """One process beside an engine, or on a VM with a disk."""
+    """Agent process beside an engine, or on a VM with a disk.
+
+    Parameters
+    ----------
+    settings
+        The settings of the process. With an engine address it keeps the
+        weights of that engine up to date; without one it completes
+        evacuations of its VM and removes old jobs from the store.
+    clock
+        The clock of all parts; ``None`` uses that of the event loop.
+    """
 
     def __init__(
         self, settings: NodeSettings, clock: Clock | None = None
@@ -44,13 +55,13 @@
         self._tasks = Tasks()
 
     async def start(self) -> None:
-        """Begin to work."""
+        """Start the background tasks and return."""
         _log.info('agent: %s starts', self._settings.node)
         if self._settings.engine is None:
             evacuations = EvacuationAgent(
                 self._access.store, self._settings.node
             )
-            self._follow(names.EVACUATION_KIND, evacuations)
+            self._start_watcher(names.EVACUATION_KIND, evacuations)
             self._tasks.start(evacuations.run())
             cleanup = CleanupAgent(
                 JobStore(self._access.store),
@@ -65,40 +76,45 @@
             EngineClient(self._client, self._settings.engine),
             self._settings.node,
             self._clock,
-            self._announce,
+            self._notify_entry,
         )
-        self._follow(names.VERSION_KIND, weights)
+        self._start_watcher(names.VERSION_KIND, weights)
         self._tasks.start(weights.run())
 
     async def stop(self) -> None:
-        """End at once: nothing here is in progress for a caller."""
+        """Stop at once: this process has no requests of callers in progress."""
         _log.info('agent: %s stops', self._settings.node)
         await self._tasks.stop()
         await self._client.close()
 
     def use_settings(self, settings: NodeSettings) -> None:
-        """Take the store's address of changed settings."""
+        """Apply the address of the store from changed settings."""
         self._access.use_settings(settings)
         self._settings = settings
 
-    def _announce(self, model: ModelId, version: WeightVersion) -> None:
-        """Tell the entry that runs the model's jobs of a loaded version.
+    def _notify_entry(self, model: ModelId, version: WeightVersion) -> None:
+        """Notify the entry that runs the model's jobs of a loaded version.
 
-        Its own view of the registrations is a second late by design, and
-        the engine would get no items of the new version until then.
+        That entry's view of the registrations is a second behind by design.
+        Without the notification the engine would get no items that require
+        the new version for that second.
         """
         entries = self._access.directory.entries
-        near = home_order(model, entries, self._settings.zone)
+        preferred = home_order(model, entries, self._settings.zone)
         engine = self._settings.engine
-        if near and engine is not None:
+        if preferred and engine is not None:
             message = EngineLoaded(engine, model, version)
-            self._tasks.start(self._tell(entries[near[0]].address, message))
+            self._tasks.start(
+                self._send(entries[preferred[0]].address, message)
+            )
 
-    async def _tell(self, address: Address, message: EngineLoaded) -> None:
+    async def _send(self, address: Address, message: EngineLoaded) -> None:
         await self._access.peers.ask(address, message)
 
-    def _follow(self, kind: str, view: EvacuationAgent | WeightsAgent) -> None:
-        watch = Watch(kind, _GATHER)
+    def _start_watcher(
+        self, kind: str, view: EvacuationAgent | WeightsAgent
+    ) -> None:
+        watch = Watch(kind, _BATCH_TIME)
         watcher = Watcher(
             self._access.store, self._access.news, watch, view, self._clock
         )
--- a/bergamotdoor/agent/engine.py
+++ b/bergamotdoor/agent/engine.py
@@ -1,4 +1,4 @@
-"""Calls to the engine on this VM."""
+"""Sends requests to the engine on this VM."""
 
 from __future__ import annotations
 
@@ -25,53 +25,71 @@
     from bergamotdoor.http.messages import Client
     from bergamotdoor.settings.document import Address
 
-#: The engine is on this VM and answers in a millisecond.
-_CALL_TIMEOUT: Final = dt.timedelta(seconds=1)
-_MAX_BYTES: Final = 1_048_576
-_JSON: Final = ('content-type', 'application/json')
+#: The engine is on the same VM and responds within a millisecond.
+_REQUEST_TIMEOUT: Final = dt.timedelta(seconds=1)
+_MAX_RESPONSE_BYTES: Final = 1_048_576
+_JSON_CONTENT_TYPE: Final = ('content-type', 'application/json')
 
 _log = logging.getLogger('bergamotdoor.agent')
 
 
-class _Answer(msgspec.Struct, frozen=True):
+class _Response(msgspec.Struct, frozen=True):
+    """Status and complete body of a response."""
+
     status: int
     body: bytes
 
 
 class EngineClient:
-    """Reads the engine's report and gives it orders."""
+    """HTTP client of one engine: reads its report and sends it orders.
+
+    Parameters
+    ----------
+    client
+        The HTTP client that sends the requests.
+    address
+        The address of the engine.
+    """
 
     def __init__(self, client: Client, address: Address) -> None:
         self.address = address
         self._client = client
 
     async def report(self) -> EngineReport | None:
-        """Return the engine's state; None if it does not tell."""
-        answer = await self._call('GET', names.REPORT_PATH, b'')
-        if answer is None or answer.status != HTTPStatus.OK:
+        """Return the engine's state; ``None`` if it can't be read."""
+        response = await self._request('GET', names.REPORT_PATH, b'')
+        if response is None or response.status != HTTPStatus.OK:
             return None
         try:
-            return parse_report(answer.body)
+            return parse_report(response.body)
         except UnreadableError as error:
-            _log.error('agent: report not understood: %s', error)
+            _log.error('agent: the engine report is unreadable: %s', error)
             return None
 
     async def give(self, order: LoadOrder) -> int | None:
-        """Give an order; return the status, None if no answer came."""
-        answer = await self._call('POST', names.ORDER_PATH, order_body(order))
-        return None if answer is None else answer.status
+        """Send an order to load weights.
+
+        Returns
+        -------
+        int or None
+            The HTTP status of the response; ``None`` if there was none.
+        """
+        response = await self._request(
+            'POST', names.ORDER_PATH, order_body(order)
+        )
+        return None if response is None else response.status
 
-    async def _call(
+    async def _request(
         self, method: str, path: str, body: bytes
-    ) -> _Answer | None:
+    ) -> _Response | None:
         response = await self._client.send(
             ClientRequest(
                 address=self.address,
                 method=method,
                 target=path,
-                headers=Headers.of([_JSON]),
+                headers=Headers.of([_JSON_CONTENT_TYPE]),
                 body=body,
-                timeout=_CALL_TIMEOUT,
+                timeout=_REQUEST_TIMEOUT,
                 close_ends_body=True,
             )
         )
@@ -79,8 +97,8 @@
             _log.warning('agent: %s %s: %s', method, path, response.detail)
             return None
         try:
-            whole = await response.read_body(_MAX_BYTES)
+            response_body = await response.read_body(_MAX_RESPONSE_BYTES)
         except (BodyBrokenError, BodyTooLargeError) as error:
             _log.warning('agent: %s %s: %s', method, path, error)
             return None
-        return _Answer(response.status, whole)
+        return _Response(response.status, response_body)
--- a/bergamotdoor/agent/evacuation.py
+++ b/bergamotdoor/agent/evacuation.py
@@ -1,7 +1,7 @@
-"""Tells the operator that a storage VM may be taken away.
+"""Reports to the operator that a storage VM may be removed.
 
-Nothing that must last lies on these VMs, so one that is to be emptied is
-empty at once. Each answers for itself.
+These VMs hold no data that must be preserved, so an evacuation has nothing
+to move and is complete at once. The agent on each VM reports only its own.
 """
 
 from __future__ import annotations
@@ -19,65 +19,65 @@
     from bergamotdoor.objects.client import ObjectClient
     from bergamotdoor.stored import Change, Listing, StoredObject
 
-#: Between two tries to write that it may be taken away.
-_RETRY_S = 0.5
+#: The delay before a failed write of the status is retried.
+_RETRY_DELAY_S = 0.5
 
 _log = logging.getLogger('bergamotdoor.agent')
 
 
 class EvacuationAgent:
-    """Completes each evacuation that the operator asks for.
+    """Completes the evacuations of its own VM that the operator requests.
 
     Parameters
     ----------
     store
-        Where evacuations are asked for.
+        The store to which the operator writes evacuations.
     node
-        This VM; evacuations of others are theirs to complete.
+        The name of this VM; evacuations of other VMs are ignored.
     """
 
     def __init__(self, store: ObjectClient, node: str) -> None:
         self._store = store
         self._node = node
         self._reader = ObjectReader(_log, 'agent')
-        self._open: set[str] = set()
-        self._wake = asyncio.Event()
+        self._open_evacuations: set[str] = set()
+        self._has_open = asyncio.Event()
 
     def reset(self, listing: Listing) -> None:
-        """Take all evacuations."""
+        """Process a listing of all evacuations."""
         for stored in listing.objects:
-            self._take(stored)
+            self._add_if_open(stored)
 
     def apply(self, changes: tuple[Change, ...]) -> None:
-        """Take new evacuations."""
+        """Process added and changed evacuations."""
         for change in changes:
             if not change.removed:
-                self._take(change.stored)
+                self._add_if_open(change.stored)
 
     def interrupted(self) -> None:
-        """Keep what is known."""
+        """Keep the open evacuations while the store is unreachable."""
 
     async def run(self) -> None:
         """Complete evacuations until cancelled."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            while self._open:
-                await self._complete(min(self._open))
-
-    def _take(self, stored: StoredObject) -> None:
-        # A status that cannot be read is replaced by one that can.
-        done = self._reader.read(stored, is_completed)
-        if stored.name == self._node and not done:
-            self._open.add(stored.name)
-            self._wake.set()
+            await self._has_open.wait()
+            self._has_open.clear()
+            while self._open_evacuations:
+                await self._complete(min(self._open_evacuations))
+
+    def _add_if_open(self, stored: StoredObject) -> None:
+        # An unreadable status counts as not completed, and is overwritten.
+        completed = self._reader.read(stored, is_completed)
+        if stored.name == self._node and not completed:
+            self._open_evacuations.add(stored.name)
+            self._has_open.set()
 
     async def _complete(self, node: str) -> None:
         outcome = await self._store.put_status(
             EVACUATION_KIND, node, completed_status()
         )
         if isinstance(outcome, Outcome) and outcome is not Outcome.ABSENT:
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
             return
-        _log.info('agent: %s may be taken away', node)
-        self._open.discard(node)
+        _log.info('agent: %s may be removed', node)
+        self._open_evacuations.discard(node)
--- a/bergamotdoor/agent/weights.py
+++ b/bergamotdoor/agent/weights.py
@@ -1,4 +1,4 @@
-"""Keeps one engine at the published versions of its models."""
+"""Keeps one engine's weights at the published versions of its models."""
 
 from __future__ import annotations
 
@@ -26,47 +26,49 @@
     from bergamotdoor.stored import Change, StoredObject
     from bergamotdoor.types import NodeId
 
-#: How often an engine is looked at that nothing is known to be new for.
-_LOOK_S: Final = 1
-_POLL_MS: Final = 150
-_POLL: Final = dt.timedelta(milliseconds=_POLL_MS)
-#: How long the list of engines is taken as true. Engines come and go
-#: rarely, and a stale list costs a tenth of a call.
-_ROSTER_AGE: Final = dt.timedelta(seconds=5)
-#: A load takes 0.9 s, and longer beside others. An order whose effect does
-#: not show by then was lost, or waits somewhere: it is given once more, and
-#: the count of accepted orders keeps the first from taking effect as well.
-_ORDER_PATIENCE_MS: Final = 700
-_ORDER_PATIENCE: Final = dt.timedelta(milliseconds=_ORDER_PATIENCE_MS)
-
-#: How many versions behind the published one weights are still taken: a
-#: step that is asked with the news of a version takes the one before.
-_USABLE_LAG: Final = 1
+#: How often the engine is checked if no new version is published.
+_CHECK_INTERVAL_S: Final = 1
+#: The interval of reading the engine's report while a load is outstanding.
+_REPORT_INTERVAL_MS: Final = 150
+_REPORT_INTERVAL: Final = dt.timedelta(milliseconds=_REPORT_INTERVAL_MS)
+#: How long the listing of engines is cached. Engines are seldom added or
+#: removed, and a stale listing costs a tenth of a call.
+_ENGINES_CACHE_TIME: Final = dt.timedelta(seconds=5)
+#: An order after which the engine neither loads nor has the version by then
+#: was lost or is delayed, and is sent again. The count of accepted orders
+#: that both contain prevents the first from taking effect as well. A load
+#: takes 0.9 s, longer while other engines load; no order is sent meanwhile.
+_ORDER_RETRY_MS: Final = 700
+_ORDER_RETRY_DELAY: Final = dt.timedelta(milliseconds=_ORDER_RETRY_MS)
+
+#: How many versions the weights may be behind the published one and still be
+#: used: a job submitted when a version is published accepts the one before.
+_MAX_USABLE_LAG: Final = 1
 
 _log = logging.getLogger('bergamotdoor.agent')
 
 
 class WeightsAgent:
-    """The only one that gives orders to the engine on its VM.
+    """The only sender of load orders to the engine on its VM.
 
-    Failure: two processes order one engine, each from another state of
-    knowledge. Symptom: the engine goes back to an older version. Nobody
-    but the process on the engine's own VM gives orders, so no lease is
-    needed. Its fencing token is the store's revision, which only grows,
-    also over restarts of this process.
+    Failure: two processes send orders to one engine, and one of them knows
+    an older published version. Symptom: the engine returns to that version.
+    Only the process on the engine's own VM sends orders, so no lease is
+    needed. The fencing token is the store's revision, which only increases,
+    also across restarts of this process.
 
     Parameters
     ----------
     store
-        Where versions are published and engines registered.
+        The store of the published versions and the registered engines.
     engine
-        The engine.
+        The client of the engine on this VM.
     node
-        The holder that orders name.
+        The name of this VM, sent as the holder in each order.
     clock
-        For turns and patience.
+        The clock for delays and intervals.
     loaded
-        Told of each version that the engine has taken.
+        The callback that receives each version which the engine has loaded.
     """
 
     def __init__(
@@ -85,66 +87,66 @@
         self._published: dict[ModelId, WeightVersion] = {}
         self._reader = ObjectReader(_log, 'agent')
         self._token = FencingToken(0)
-        #: The engine's last start that was seen.
-        self._started = dt.timedelta()
-        self._changed = asyncio.Event()
-        self._roster = Roster((), engine.address)
-        self._roster_until = dt.timedelta()
+        #: The latest start time that the engine has reported.
+        self._engine_started_at = dt.timedelta()
+        self._versions_changed = asyncio.Event()
+        self._assignment = Roster((), engine.address)
+        self._assignment_valid_until = dt.timedelta()
 
     def reset(self, listing: Listing) -> None:
-        """Take all published versions."""
+        """Add a listing of all published versions to the known ones."""
         for stored in listing.objects:
-            self._take(stored)
-        self._raise_token(listing.revision)
-        self._changed.set()
+            self._add_version(stored)
+        self._advance_token(listing.revision)
+        self._versions_changed.set()
 
     def apply(self, changes: tuple[Change, ...]) -> None:
-        """Take newly published versions."""
+        """Add newly published versions."""
         for change in changes:
             if not change.removed:
-                self._take(change.stored)
-                self._raise_token(change.stored.revision)
-        self._changed.set()
+                self._add_version(change.stored)
+                self._advance_token(change.stored.revision)
+        self._versions_changed.set()
 
     def interrupted(self) -> None:
-        """Keep what is known."""
+        """Keep the known versions while the store is unreachable."""
 
     async def run(self) -> None:
-        """Follow the published versions until cancelled."""
+        """Load the published versions until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_LOOK_S):
-                    await self._changed.wait()
-            self._changed.clear()
-            await self._look()
-
-    async def _look(self) -> None:
-        """Bring the engine to the published versions, if it is behind.
-
-        Failure: the engine starts again, or carries an order out that was
-        given to its last start. Symptom: it has old weights until the next
-        version is published, and none of a step's items. It is asked every
-        second; the question does not leave the VM.
+                async with asyncio.timeout(_CHECK_INTERVAL_S):
+                    await self._versions_changed.wait()
+            self._versions_changed.clear()
+            await self._load_versions()
+
+    async def _load_versions(self) -> None:
+        """Load the published versions into the engine if it is behind.
+
+        Failure: the engine restarts, or executes an order that was sent
+        before its restart. Symptom: it has old weights until the next
+        version is published, and gets no items of any job. Its report is
+        read every second; the request does not leave the VM.
         """
         if not self._published:
             return
-        await self._refresh_roster()
-        for model in sorted(self._roster.models()):
-            await self._catch_up(model)
+        await self._refresh_assignment()
+        for model in sorted(self._assignment.models()):
+            await self._load_version(model)
 
-    def _take(self, stored: StoredObject) -> None:
+    def _add_version(self, stored: StoredObject) -> None:
         found = self._reader.read(stored, parse_version)
         if found is None:
             return
         known = self._published.get(found.model, WeightVersion(0))
         self._published[found.model] = max(known, found.version)
 
-    def _raise_token(self, revision: int) -> None:
+    def _advance_token(self, revision: int) -> None:
         self._token = FencingToken(max(self._token, revision))
 
-    async def _refresh_roster(self) -> None:
+    async def _refresh_assignment(self) -> None:
         now = self._clock.elapsed()
-        if now < self._roster_until:
+        if now < self._assignment_valid_until:
             return
         listing = await self._store.listing(names.UPSTREAM_KIND, stale=True)
         if isinstance(listing, Outcome):
@@ -154,67 +156,77 @@
             for stored in listing.objects
         )
         engines = (upstream for upstream in found if upstream is not None)
-        self._roster = Roster(engines, self._engine.address)
-        self._roster_until = now + _ROSTER_AGE
+        self._assignment = Roster(engines, self._engine.address)
+        self._assignment_valid_until = now + _ENGINES_CACHE_TIME
 
-    async def _catch_up(self, model: ModelId) -> None:
-        """Give orders until the engine has a model's published version."""
-        report = await self._report()
-        if report is None or not self._behind(report, model):
+    async def _load_version(self, model: ModelId) -> None:
+        """Send orders until the engine has a model's published version."""
+        report = await self._read_report()
+        if report is None or not self._is_behind(report, model):
             return
         await self._wait_for_turn(model, report)
         next_order_at = self._clock.elapsed()
-        ordered_start = self._started
-        while report is None or self._behind(report, model):
+        ordered_start_at = self._engine_started_at
+        while report is None or self._is_behind(report, model):
             now = self._clock.elapsed()
-            # What was ordered of its last start it does not know of.
-            due = now >= next_order_at or self._started != ordered_start
+            # An engine that restarted has lost the orders sent before.
+            due = (
+                now >= next_order_at
+                or self._engine_started_at != ordered_start_at
+            )
             if report is not None and due:
-                next_order_at = now + _ORDER_PATIENCE
-                ordered_start = self._started
-                await self._order(model, report)
-            await self._clock.sleep(_POLL)
-            report = await self._report()
+                next_order_at = now + _ORDER_RETRY_DELAY
+                ordered_start_at = self._engine_started_at
+                await self._send_order(model, report)
+            await self._clock.sleep(_REPORT_INTERVAL)
+            report = await self._read_report()
         self._loaded(model, report.versions[model])
 
     async def _wait_for_turn(
         self, model: ModelId, report: EngineReport
     ) -> None:
-        """Wait until the engine may load, or no step can use it before.
+        """Wait until it is the engine's turn to load a version.
 
         Failure: an engine waits for its turn while the next version is
-        named, or was down with the store for some versions. Symptom: the
-        next step takes neither its weights, and on a site of 15 engines a
-        model the last ones are at no step's service for seconds. It loads
-        at once then: there is nothing that it could run meanwhile.
+        published, or has missed some versions while the store was down.
+        Symptom: the next job doesn't accept its weights either, and on a
+        site with 15 engines per model the last engines serve no job for
+        seconds. An engine whose weights no job accepts therefore loads at
+        once: it could run no items while it waits.
         """
         now = self._clock.elapsed()
-        until = now + self._roster.turn_delay(model)
-        while now < until and not self._useless(report, model):
-            await self._clock.sleep(min(_POLL, until - now))
+        until = now + self._assignment.turn_delay(model)
+        while now < until and not self._has_unusable_weights(report, model):
+            await self._clock.sleep(min(_REPORT_INTERVAL, until - now))
             now = self._clock.elapsed()
 
-    def _useless(self, report: EngineReport, model: ModelId) -> bool:
-        """Return whether steps take none of an engine's weights any more."""
+    def _has_unusable_weights(
+        self, report: EngineReport, model: ModelId
+    ) -> bool:
+        """Return whether no job accepts the engine's weights any more."""
         published = self._published.get(model, WeightVersion(0))
-        return published - report.versions[model] > _USABLE_LAG
+        return published - report.versions[model] > _MAX_USABLE_LAG
 
-    async def _report(self) -> EngineReport | None:
-        """Return the engine's state; None if it, or its newest, is unknown."""
+    async def _read_report(self) -> EngineReport | None:
+        """Return the engine's report.
+
+        ``None`` if it can't be read, or was written before the latest
+        known start of the engine.
+        """
         report = await self._engine.report()
-        if report is None or report.started < self._started:
+        if report is None or report.started < self._engine_started_at:
             return None
-        if report.started > self._started:
-            _log.info('agent: the engine began at %s', report.started)
-            self._started = report.started
+        if report.started > self._engine_started_at:
+            _log.info('agent: the engine started at %s', report.started)
+            self._engine_started_at = report.started
         return report
 
-    def _behind(self, report: EngineReport, model: ModelId) -> bool:
+    def _is_behind(self, report: EngineReport, model: ModelId) -> bool:
         known = report.versions.get(model)
         published = self._published.get(model, WeightVersion(0))
         return known is not None and known < published
 
-    async def _order(self, model: ModelId, report: EngineReport) -> None:
+    async def _send_order(self, model: ModelId, report: EngineReport) -> None:
         if report.loading:
             return
         order = LoadOrder(
--- a/bergamotdoor/platform/__init__.py
+++ b/bergamotdoor/platform/__init__.py
@@ -1,7 +1,6 @@
-"""Adapter to the users' machines: their wire names become typed messages.
+"""Adapter to the platform: converts its wire formats to typed messages.
 
-Nothing outside this package knows a field, header, path or object kind of
-the platform.
+No other package uses a field, header, path or object kind of its protocol.
 """
 
 from __future__ import annotations
--- a/bergamotdoor/platform/batch_wire.py
+++ b/bergamotdoor/platform/batch_wire.py
@@ -1,4 +1,4 @@
-"""Reads batch jobs that trainers hand in; writes pages of their results."""
+"""Decodes submitted batch jobs; encodes pages of their results."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     id: str
     host: str
     path: str
-    #: In base64.
+    #: Base64-encoded.
     body: str = ''
 
 
@@ -34,10 +34,10 @@
     id: ItemId
     path: str
     headers: dict[str, str] = {}
-    #: In base64.
+    #: Base64-encoded.
     body: str = ''
     group: GroupId = GroupId('')
-    #: Despite its name a whole request, not an address.
+    #: A complete request, although the name says URL.
     scorer_url: _ScoreCall | None = None
 
 
@@ -53,54 +53,54 @@
     state: str
     text: str
     versions: tuple[WeightVersion, ...]
-    #: The stamp of the answer to the score call.
+    #: The upstream's stamp of the response to the score call.
     score: str = ''
 
 
 class _Page(msgspec.Struct, frozen=True):
     total: int
-    #: Despite its name the position to go on from, not a token.
+    #: The position at which the next page starts, not a token.
     next_token: int
     results: tuple[_Result, ...]
 
 
 def parse_job(job: JobId, host: str, path: str, body: bytes) -> JobSpec:
-    """Read a job as it was handed in.
+    """Decode a submitted batch job.
 
     Raises
     ------
     ValueError
-        If it is no batch job.
+        If the body is not a batch job.
     """
     try:
-        written = msgspec.json.decode(body, type=_Job)
-        items = tuple(_item(item) for item in written.items)
+        decoded = msgspec.json.decode(body, type=_Job)
+        items = tuple(_build_item_spec(item) for item in decoded.items)
     except (msgspec.MsgspecError, binascii.Error) as error:
         raise ValueError(f'batch job {job}: {error}') from error
     return JobSpec(
         job,
         host,
         path,
-        written.model,
-        written.min_version,
+        decoded.model,
+        decoded.min_version,
         items,
-        written.target_groups,
+        decoded.target_groups,
     )
 
 
 def results_body(
     total: int, after: int, results: tuple[ItemResult, ...]
 ) -> bytes:
-    """Write a page of results."""
+    """Encode a page of results."""
     page = _Page(
         total,
         after + len(results),
-        tuple(_result(result) for result in results),
+        tuple(_build_result(result) for result in results),
     )
     return msgspec.json.encode(page)
 
 
-def _result(result: ItemResult) -> _Result:
+def _build_result(result: ItemResult) -> _Result:
     return _Result(
         result.item,
         result.state.value,
@@ -110,38 +110,38 @@
     )
 
 
-def _item(written: _Item) -> ItemSpec:
+def _build_item_spec(decoded: _Item) -> ItemSpec:
     return ItemSpec(
-        written.id,
-        written.path,
-        tuple(written.headers.items()),
-        _bytes(written.body),
-        written.group or GroupId(written.id),
-        _number(_field(written.headers, LENGTH_HINT)),
-        # The prompt's tokens, then the most that may be generated.
-        _number(_field(written.headers, TOKEN_COUNT).partition(',')[-1]),
-        _score_call(written.scorer_url),
+        decoded.id,
+        decoded.path,
+        tuple(decoded.headers.items()),
+        _decode_base64(decoded.body),
+        decoded.group or GroupId(decoded.id),
+        _int_or_zero(_header(decoded.headers, LENGTH_HINT)),
+        # The tokens of the prompt, then the maximum to be generated.
+        _int_or_zero(_header(decoded.headers, TOKEN_COUNT).partition(',')[-1]),
+        _build_score_call(decoded.scorer_url),
     )
 
 
-def _score_call(written: _ScoreCall | None) -> ScoreCall | None:
-    if written is None:
+def _build_score_call(decoded: _ScoreCall | None) -> ScoreCall | None:
+    if decoded is None:
         return None
     return ScoreCall(
-        written.id, written.host, written.path, _bytes(written.body)
+        decoded.id, decoded.host, decoded.path, _decode_base64(decoded.body)
     )
 
 
-def _bytes(text: str) -> bytes:
+def _decode_base64(text: str) -> bytes:
     return base64.b64decode(text, validate=True)
 
 
-def _field(headers: dict[str, str], wanted: str) -> str:
+def _header(headers: dict[str, str], wanted: str) -> str:
     return next(
         (text for name, text in headers.items() if name.lower() == wanted),
         '',
     )
 
 
-def _number(text: str) -> int:
+def _int_or_zero(text: str) -> int:
     return int(text) if text.isdecimal() else 0
--- a/bergamotdoor/platform/duties.py
+++ b/bergamotdoor/platform/duties.py
@@ -1,4 +1,4 @@
-"""Calls that the platform takes from one process at a time."""
+"""Requests that one process at a time sends to the platform."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def usage_body(report: UsageReport) -> bytes:
-    """Write the report of a window."""
+    """Encode the usage report of a window."""
     return msgspec.json.encode(report)
--- a/bergamotdoor/platform/engines.py
+++ b/bergamotdoor/platform/engines.py
@@ -1,4 +1,4 @@
-"""Reads what upstreams register and report; writes orders to engines."""
+"""Decodes registrations and reports of upstreams; encodes load orders."""
 
 from __future__ import annotations
 
@@ -39,36 +39,36 @@
 
 
 class _Registration(msgspec.Struct, frozen=True):
-    """What upstreams write; all fields but two are there always.
+    """Registration that an upstream writes; only two fields are optional.
 
-    An entry that lacks one is another writer's, and names no upstream.
+    An object without the others is from another writer and no upstream.
     """
 
     service: ServiceId
     address: str
     zone: ZoneId
-    #: Of its software; the weights have versions of their own.
+    #: The version of its software; the weights have separate versions.
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: _State
     cold_left_ms: float
-    #: Counts what it writes.
+    #: A counter of the writes of this registration.
     seq: int
-    #: Engines only.
+    #: Only set by engines.
     models: tuple[_Model, ...] = ()
-    #: The Unix time of its start in milliseconds; older ones tell none.
+    #: Unix time of its start in milliseconds; older software sets none.
     born: int = 0
 
 
 class _Report(msgspec.Struct, frozen=True):
     models: tuple[_Model, ...] = ()
-    #: Whether an order is being carried out.
+    #: Whether an order is being executed.
     busy: bool = False
-    #: How many orders were accepted since the engine's start.
+    #: The number of orders accepted since the engine's start.
     seq: int = 0
     running: int = 0
     waiting: int = 0
-    #: As in a registration.
+    #: Unix time of its start, as in a registration.
     born: int = 0
 
 
@@ -78,67 +78,67 @@
 
 
 def parse_upstream(stored: StoredObject) -> Upstream:
-    """Read a registration.
+    """Decode a registration.
 
     Raises
     ------
     UnreadableError
-        If it is none.
+        If the object is not a registration.
     """
     registration = RegistrationId(stored.name)
     with reading('registration'):
-        written = msgspec.json.decode(stored.spec, type=_Registration)
-        started = utils.from_ms(written.born)
+        decoded = msgspec.json.decode(stored.spec, type=_Registration)
+        started = utils.from_ms(decoded.born)
         return Upstream(
             upstream=incarnation(registration, started),
             registration=registration,
-            service=written.service,
-            address=Address.parse(written.address),
-            zone=written.zone,
-            slots=written.slots,
-            draining=written.state is _State.DRAINING,
-            cold=utils.from_ms(written.cold_left_ms),
-            versions={model.name: model.version for model in written.models},
+            service=decoded.service,
+            address=Address.parse(decoded.address),
+            zone=decoded.zone,
+            slots=decoded.slots,
+            draining=decoded.state is _State.DRAINING,
+            cold=utils.from_ms(decoded.cold_left_ms),
+            versions={model.name: model.version for model in decoded.models},
             started=started,
         )
 
 
 def parse_version(stored: StoredObject) -> PublishedVersion:
-    """Read a published version of a model.
+    """Decode a published version of a model.
 
     Raises
     ------
     UnreadableError
-        If it is none.
+        If the object is not a published version.
     """
     with reading('version'):
-        written = msgspec.json.decode(stored.spec, type=_Version)
-    return PublishedVersion(written.model, written.version)
+        decoded = msgspec.json.decode(stored.spec, type=_Version)
+    return PublishedVersion(decoded.model, decoded.version)
 
 
 def parse_report(body: bytes) -> EngineReport:
-    """Read an engine's report of itself.
+    """Decode an engine's report of its state.
 
     Raises
     ------
     UnreadableError
-        If it is none.
+        If the body is not a report.
     """
     with reading('report'):
-        written = msgspec.json.decode(body, type=_Report)
-        started = utils.from_ms(written.born)
+        decoded = msgspec.json.decode(body, type=_Report)
+        started = utils.from_ms(decoded.born)
     return EngineReport(
-        versions={model.name: model.version for model in written.models},
-        loading=written.busy,
-        accepted_orders=written.seq,
-        running=written.running,
-        waiting=written.waiting,
+        versions={model.name: model.version for model in decoded.models},
+        loading=decoded.busy,
+        accepted_orders=decoded.seq,
+        running=decoded.running,
+        waiting=decoded.waiting,
         started=started,
     )
 
 
 def order_body(order: LoadOrder) -> bytes:
-    """Write an order to load weights."""
+    """Encode an order to load weights."""
     return msgspec.json.encode(
         {
             'op': 'version',
@@ -147,8 +147,7 @@
             'mode': order.mode.value,
             'holder': order.holder,
             'fence': order.fencing_token,
-            # The engine's count of accepted orders that must still hold
-            # when the order is carried out.
+            # Executed only if the engine still counts as many accepted orders.
             'expected': order.accepted_orders,
         }
     )
--- a/bergamotdoor/platform/evacuation.py
+++ b/bergamotdoor/platform/evacuation.py
@@ -1,4 +1,4 @@
-"""The status of a storage VM that is to be emptied."""
+"""The status of the evacuation of a storage VM."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 def completed_status() -> bytes:
-    """Return the status that lets the VM be taken away."""
+    """Return the status after which the operator may remove the VM."""
     return msgspec.json.encode(_Status(_COMPLETED))
 
 
 def is_completed(stored: StoredObject) -> bool:
-    """Return whether the operator was told so already.
+    """Return whether an evacuation already has the completed status.
 
     Raises
     ------
     UnreadableError
-        If it is no status.
+        If the status is malformed.
     """
     with reading('status of an evacuation'):
         found = msgspec.json.decode(
--- a/bergamotdoor/platform/headers.py
+++ b/bergamotdoor/platform/headers.py
@@ -9,28 +9,28 @@
 _PREFIX: Final = 'x-bergamotdoor-'
 
 REQUEST_ID: Final = f'{_PREFIX}request-id'
-#: How long the client still waits, in milliseconds from receipt.
+#: How long the client waits, in milliseconds from receipt of the request.
 DEADLINE_MS: Final = f'{_PREFIX}deadline-ms'
-#: Proof that an upstream made the answer.
+#: Proof that an upstream produced the response.
 STAMP: Final = f'{_PREFIX}server-stamp'
-#: The upstream's registration; one of another name answers 421 and runs
-#: nothing. One that started again under its name runs the request.
+#: The registration to run the request. An upstream with another name returns
+#: 421 and runs nothing; one restarted under the same name runs the request.
 EXPECT_REGISTRATION: Final = f'{_PREFIX}expect-instance'
-#: Present where the upstream did not run the request.
+#: Present if the upstream did not run the request.
 NOT_RUN: Final = f'{_PREFIX}not-executed'
-#: Running requests, waiting requests and slots, with commas between.
+#: The numbers of running requests, waiting requests and slots; with commas.
 LOAD: Final = f'{_PREFIX}server-load'
-#: How long a call may be kept waiting for news, in milliseconds.
+#: How long a read of results may wait for new ones, in milliseconds.
 WAIT_MS: Final = f'{_PREFIX}wait-ms'
-#: The version that generates, also as the first line of an event.
+#: The version that generates the text; also the first line of an event.
 WEIGHT_VERSION: Final = f'{_PREFIX}weight-versions'
-#: Tokens of the prompt and the most that may be generated, with a comma.
+#: Prompt tokens and maximum of generated tokens, separated by a comma.
 TOKEN_COUNT: Final = f'{_PREFIX}token-count'
-#: The prompt, by its parts; engines read it by their ids.
+#: The ids of the prompt's parts, by which engines read the prompt.
 PROMPT: Final = f'{_PREFIX}prompt-prefix'
-#: The client's guess at the number of tokens to be generated.
+#: The client's estimate of the number of tokens to be generated.
 LENGTH_HINT: Final = f'{_PREFIX}length-hint'
-#: The client account, as upstreams are told.
+#: The client account, sent to upstreams.
 ACCOUNT: Final = f'{_PREFIX}tenant'
 DUTY_HOLDER: Final = f'{_PREFIX}duty-holder'
 FENCING_TOKEN: Final = f'{_PREFIX}fence-token'
@@ -49,15 +49,15 @@
 MANIFEST_NAME: Final = 'main'
 UPSTREAM_KIND: Final = 'servers'
 VERSION_KIND: Final = 'versions'
-#: Storage VMs that are to be emptied.
+#: Storage VMs that are to be evacuated.
 EVACUATION_KIND: Final = 'retirements'
 
-_LOAD_FIELDS: Final = 3
+_LOAD_FIELD_COUNT: Final = 3
 
 
 def parse_load(text: str) -> ToldLoad | None:
-    """Read the load header; None if there is none."""
+    """Decode the load header; ``None`` if it is missing or malformed."""
     numbers = [part for part in text.split(',') if part.strip().isdecimal()]
-    if len(numbers) != _LOAD_FIELDS:
+    if len(numbers) != _LOAD_FIELD_COUNT:
         return None
     return ToldLoad(*(int(number) for number in numbers))
--- a/bergamotdoor/platform/manifest.py
+++ b/bergamotdoor/platform/manifest.py
@@ -1,4 +1,4 @@
-"""Reads the manifest that the operator writes to the store."""
+"""Decodes the manifest that the operator writes to the store."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from bergamotdoor.stored import StoredObject
 
-#: The wire's ``safe`` may be repeated and ``rollout`` is a batch job; any
-#: other kind may run once at most.
+#: Requests of ``safe`` routes may be repeated, ``rollout`` routes take batch
+#: jobs; a request of any other kind may run at most once.
 _KINDS: Final = MappingProxyType(
     {
         'safe': RouteKind.IDEMPOTENT,
@@ -33,8 +33,8 @@
         'rollout': RouteKind.BATCH,
     }
 )
-#: Where a route has no bound of its own: far beyond any client's.
-_NO_TIMEOUT_MS: Final = 600_000
+#: The timeout of a route that sets none; far longer than any client's.
+_DEFAULT_TIMEOUT_MS: Final = 600_000
 
 
 class _Split(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
     name: str = ''
     service: ServiceId = ServiceId('')
     split: tuple[_Split, ...] = ()
-    timeout_ms: float = _NO_TIMEOUT_MS
+    timeout_ms: float = _DEFAULT_TIMEOUT_MS
     goal_ms: float = 0
     max_attempts: int = 1
     can_resume: bool = False
@@ -86,66 +86,66 @@
 
 
 def parse_manifest(stored: StoredObject) -> Manifest:
-    """Read the operator's object.
+    """Decode the manifest.
 
     Raises
     ------
     UnreadableError
-        If it is no manifest.
+        If the object is not a manifest.
     """
     with reading('manifest'):
-        written = msgspec.json.decode(stored.spec, type=_Manifest)
+        decoded = msgspec.json.decode(stored.spec, type=_Manifest)
         return Manifest(
-            written.version,
-            [_route(route) for route in written.routes],
+            decoded.version,
+            [_build_route(route) for route in decoded.routes],
             {
                 service.name: ServiceRules(
                     service.max_conns, service.health_path
                 )
-                for service in written.services
+                for service in decoded.services
             },
-            _limits(written.limits),
-            Accounts(_account_keys(tenant) for tenant in written.tenants),
+            _build_limits(decoded.limits),
+            Accounts(_build_account_keys(tenant) for tenant in decoded.tenants),
         )
 
 
-def _route(written: _Route) -> Route:
+def _build_route(decoded: _Route) -> Route:
     shares = tuple(
-        Share(split.service, split.weight) for split in written.split
+        Share(split.service, split.weight) for split in decoded.split
     )
     return Route(
-        name=written.name or written.path_prefix,
-        host=written.host.lower(),
-        path_prefix=written.path_prefix,
-        kind=_KINDS.get(written.kind, RouteKind.ONCE),
-        shares=shares or (Share(written.service, 1),),
-        timeout=utils.from_ms(written.timeout_ms),
-        objective=utils.from_ms(written.goal_ms),
-        max_attempts=max(written.max_attempts, 1),
-        resumable=written.can_resume,
-        due=utils.from_ms(written.due_ms),
-        give_up=_seconds(written.max_wait_s),
-        single_version=written.single_version,
-        public=written.public,
+        name=decoded.name or decoded.path_prefix,
+        host=decoded.host.lower(),
+        path_prefix=decoded.path_prefix,
+        kind=_KINDS.get(decoded.kind, RouteKind.ONCE),
+        shares=shares or (Share(decoded.service, 1),),
+        timeout=utils.from_ms(decoded.timeout_ms),
+        objective=utils.from_ms(decoded.goal_ms),
+        max_attempts=max(decoded.max_attempts, 1),
+        resumable=decoded.can_resume,
+        due=utils.from_ms(decoded.due_ms),
+        give_up=_optional_seconds(decoded.max_wait_s),
+        single_version=decoded.single_version,
+        public=decoded.public,
     )
 
 
-def _account_keys(written: _Tenant) -> AccountKeys:
+def _build_account_keys(decoded: _Tenant) -> AccountKeys:
     return AccountKeys(
-        written.name, tuple(digest_of(key) for key in written.api_keys)
+        decoded.name, tuple(digest_of(key) for key in decoded.api_keys)
     )
 
 
-def _seconds(number: float | None) -> dt.timedelta | None:
+def _optional_seconds(number: float | None) -> dt.timedelta | None:
     return None if number is None else dt.timedelta(seconds=number)
 
 
-def _limits(written: _Limits) -> CallerLimits:
-    usual = CallerLimits()
-    header_ms, idle_ms = written.header_timeout_ms, written.idle_timeout_ms
+def _build_limits(decoded: _Limits) -> CallerLimits:
+    defaults = CallerLimits()
+    header_ms, idle_ms = decoded.header_timeout_ms, decoded.idle_timeout_ms
     return CallerLimits(
-        written.max_header_bytes or usual.max_header_bytes,
-        written.max_body_bytes or usual.max_body_bytes,
-        utils.from_ms(header_ms) if header_ms else usual.header_timeout,
-        utils.from_ms(idle_ms) if idle_ms else usual.idle_timeout,
+        decoded.max_header_bytes or defaults.max_header_bytes,
+        decoded.max_body_bytes or defaults.max_body_bytes,
+        utils.from_ms(header_ms) if header_ms else defaults.header_timeout,
+        utils.from_ms(idle_ms) if idle_ms else defaults.idle_timeout,
     )
--- a/bergamotdoor/platform/settings.py
+++ b/bergamotdoor/platform/settings.py
@@ -13,11 +13,11 @@
 from bergamotdoor.settings.problems import Problem, SettingsError
 from bergamotdoor.types import NodeId, ZoneId
 
-#: The port that the deploy file names for metrics, alike on every VM.
+#: The port for metrics in the deploy file, the same on every VM.
 INSPECTION_PORT: Final = 9464
-#: Names the settings file in the environment.
+#: The environment variable with the path of the settings file.
 SETTINGS_VARIABLE: Final = 'BERGAMOTDOOR_CONFIG'
-_USAGE: Final = 'usage'
+_USAGE_DUTY: Final = 'usage'
 
 
 class _Listen(msgspec.Struct, frozen=True):
@@ -47,14 +47,14 @@
 
 
 class _Receiver(msgspec.Struct, frozen=True):
-    """Takes the calls of duties."""
+    """The service that receives the reports of duties."""
 
     address: str = ''
     duties: tuple[str, ...] = ()
 
 
 class _File(msgspec.Struct, frozen=True):
-    """The file as written; fields of no use here are ignored."""
+    """Contents of the settings file; unused fields are ignored."""
 
     node: NodeId
     zone: ZoneId
@@ -69,54 +69,56 @@
 
 
 def parse_node_settings(body: bytes, source: str) -> NodeSettings:
-    """Check the text of a settings file.
+    """Decode and check the text of a settings file.
 
     Raises
     ------
     SettingsError
-        A field is missing or of another type.
+        If a field is missing or has the wrong type.
     """
     try:
-        return _settings(msgspec.json.decode(body, type=_File))
+        return _build_settings(msgspec.json.decode(body, type=_File))
     except (msgspec.MsgspecError, ValueError) as error:
         problem = Problem('', str(error), 'the fields of a process')
         raise SettingsError(source, (problem,)) from error
 
 
-def _settings(written: _File) -> NodeSettings:
-    bounds = written.bounds
+def _build_settings(decoded: _File) -> NodeSettings:
+    bounds = decoded.bounds
     revocation = utils.from_ms(bounds.revoke_ms)
     return NodeSettings(
-        node=written.node,
-        zone=written.zone,
-        ip=written.ip,
-        store=Address.parse(written.platform.address),
-        object_bytes=written.platform.value_bytes,
-        callers=_optional(written.listen.front),
-        readiness=_optional(written.listen.ready),
-        first_port=written.internal_ports[0],
-        inspection=Address(ip=written.ip, port=INSPECTION_PORT),
-        engine=_optional(written.app),
+        node=decoded.node,
+        zone=decoded.zone,
+        ip=decoded.ip,
+        store=Address.parse(decoded.platform.address),
+        object_bytes=decoded.platform.value_bytes,
+        callers=_optional_address(decoded.listen.front),
+        readiness=_optional_address(decoded.listen.ready),
+        first_port=decoded.internal_ports[0],
+        inspection=Address(ip=decoded.ip, port=INSPECTION_PORT),
+        engine=_optional_address(decoded.app),
         contact=utils.from_ms(bounds.contact_ms),
         drain=utils.from_ms(bounds.drain_ms),
         grace=dt.timedelta(seconds=bounds.grace_s),
         retention=dt.timedelta(seconds=bounds.status_s),
-        link_mbps=written.limits.link_mbps,
+        link_mbps=decoded.limits.link_mbps,
         revocation=revocation if bounds.strict_revoke else None,
-        duties=_duties(written.cloud, bounds),
+        duties=_build_duty_settings(decoded.cloud, bounds),
     )
 
 
-def _duties(written: _Receiver | None, bounds: _Bounds) -> DutySettings | None:
-    if written is None or _USAGE not in written.duties:
+def _build_duty_settings(
+    decoded: _Receiver | None, bounds: _Bounds
+) -> DutySettings | None:
+    if decoded is None or _USAGE_DUTY not in decoded.duties:
         return None
     return DutySettings(
-        receiver=Address.parse(written.address),
+        receiver=Address.parse(decoded.address),
         lease=utils.from_ms(bounds.lease_ms),
         usage_window=dt.timedelta(seconds=bounds.usage_window_s),
         usage_due=dt.timedelta(seconds=bounds.usage_late_s),
     )
 
 
-def _optional(text: str) -> Address | None:
+def _optional_address(text: str) -> Address | None:
     return Address.parse(text) if text else None
--- a/bergamotdoor/platform/store_paths.py
+++ b/bergamotdoor/platform/store_paths.py
@@ -12,23 +12,23 @@
 
 
 def kind_path(kind: str) -> str:
-    """Return the path of a kind, to create objects."""
+    """Return the path of a kind, at which objects are created."""
     return OBJECTS_PATH + quote(kind, safe='')
 
 
 def object_path(kind: str, name: str, revision: Revision | None = None) -> str:
-    """Return the path of an object, on condition of its revision."""
+    """Return the path of an object, conditional on a revision if given."""
     path = f'{kind_path(kind)}/{quote(name, safe="")}'
     return path if revision is None else f'{path}?rev={revision}'
 
 
 def status_path(kind: str, name: str) -> str:
-    """Return the path that replaces an object's status."""
+    """Return the path at which an object's status is replaced."""
     return f'{object_path(kind, name)}/status'
 
 
 def list_path(kind: str, after: str, stale: bool) -> str:
-    """Return the path of a page; a stale one costs a tenth."""
+    """Return the path of a page; a stale one costs a tenth of a call."""
     query = {'after': after} if after else {}
     if stale:
         query['allow_stale'] = '1'
@@ -37,6 +37,6 @@
 
 
 def watch_path(kind: str, since: Revision, wait_ms: int) -> str:
-    """Return the path that waits for changes."""
+    """Return the path of a watch that waits for changes."""
     query = urlencode({'watch': since, 'wait_ms': wait_ms})
     return f'{kind_path(kind)}?{query}'
--- a/bergamotdoor/platform/store_wire.py
+++ b/bergamotdoor/platform/store_wire.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform's object store."""
+"""Bodies of requests and responses of the platform's object store."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 Part = TypeVar('Part')
 
 _log = logging.getLogger('bergamotdoor.platform')
-#: The same object comes again with each listing.
-_unreadable: Final = Once()
+#: Unreadable objects that were logged; each listing contains them again.
+_logged_objects: Final = Once()
 
 
 class _Metadata(msgspec.Struct, frozen=True):
@@ -46,13 +46,13 @@
 
 
 class _Named(msgspec.Struct, frozen=True):
-    """As much of an object as says which one it is."""
+    """The part of an object that identifies it."""
 
     metadata: _Name
 
 
 class _List(msgspec.Struct, frozen=True):
-    #: Each is decoded by itself, so that a broken one breaks no other.
+    #: Decoded one by one, so that a malformed object affects no other.
     items: tuple[msgspec.Raw, ...]
     as_of: Revision
     more_pages: bool = False
@@ -69,14 +69,14 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """A part of a listing."""
+    """One page of a listing."""
 
     listing: Listing
     more: bool
 
 
 def object_body(name: str, spec: bytes, revision: Revision | None) -> bytes:
-    """Write an object to create, or to replace at a revision."""
+    """Encode an object to be created, or replaced at a revision."""
     metadata: dict[str, object] = {'name': name, 'finalizers': []}
     if revision is not None:
         metadata['rev'] = revision
@@ -86,75 +86,75 @@
 
 
 def status_body(name: str, status: bytes) -> bytes:
-    """Write a status, whatever the object's revision."""
+    """Encode a status, to be written whatever the object's revision is."""
     return msgspec.json.encode(
         {'metadata': {'name': name}, 'status': msgspec.Raw(status)}
     )
 
 
 def parse_object(body: bytes) -> StoredObject:
-    """Read one object.
+    """Decode one object.
 
     Raises
     ------
     UnreadableError
-        If it is none, or has no name.
+        If the body is not an object or has no name.
     """
     with reading('object'):
         try:
-            written = msgspec.json.decode(body, type=_Object)
+            decoded = msgspec.json.decode(body, type=_Object)
         except msgspec.ValidationError:
-            # Whoever keeps the object drops it, knowing which one it was.
+            # The name alone lets a view drop the object that it holds.
             named = msgspec.json.decode(body, type=_Named)
             return StoredObject(named.metadata.name, Revision(0), b'')
     return StoredObject(
-        written.metadata.name,
-        written.metadata.rev,
-        bytes(written.spec),
-        bytes(written.status),
+        decoded.metadata.name,
+        decoded.metadata.rev,
+        bytes(decoded.spec),
+        bytes(decoded.status),
     )
 
 
 def parse_page(body: bytes) -> Page:
-    """Read a page of a listing, without objects that have no name.
+    """Decode a page of a listing, without objects that have no name.
 
     Raises
     ------
     UnreadableError
-        If it is no page.
+        If the body is not a page.
     """
     with reading('page'):
-        written = msgspec.json.decode(body, type=_List)
-    listed = tuple(_readable(written.items, parse_object))
-    return Page(Listing(listed, written.as_of), written.more_pages)
+        decoded = msgspec.json.decode(body, type=_List)
+    listed = tuple(_decode_readable(decoded.items, parse_object))
+    return Page(Listing(listed, decoded.as_of), decoded.more_pages)
 
 
 def parse_changes(body: bytes) -> Changes:
-    """Read what a watch returned, without objects that have no name.
+    """Decode the response of a watch, without objects that have no name.
 
     Raises
     ------
     UnreadableError
-        If it is no answer of a watch.
+        If the body is not a response of a watch.
     """
     with reading('changes'):
-        written = msgspec.json.decode(body, type=_Events)
-    changes = tuple(_readable(written.events, _change))
-    return Changes(changes, written.as_of)
+        decoded = msgspec.json.decode(body, type=_Events)
+    changes = tuple(_decode_readable(decoded.events, _parse_change))
+    return Changes(changes, decoded.as_of)
 
 
-def _change(body: bytes) -> Change:
+def _parse_change(body: bytes) -> Change:
     with reading('change'):
-        written = msgspec.json.decode(body, type=_Event)
-    return Change(parse_object(bytes(written.object)), written.removed)
+        decoded = msgspec.json.decode(body, type=_Event)
+    return Change(parse_object(bytes(decoded.object)), decoded.removed)
 
 
-def _readable(
+def _decode_readable(
     bodies: Iterable[msgspec.Raw], parse: Callable[[bytes], Part]
 ) -> Iterator[Part]:
     for body in bodies:
         try:
             yield parse(bytes(body))
         except UnreadableError as error:
-            if _unreadable.is_new(str(bytes(body))):
-                _log.warning('platform: an object is left out: %s', error)
+            if _logged_objects.is_new(str(bytes(body))):
+                _log.warning('platform: unreadable object skipped: %s', error)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -239,8 +239,8 @@
     Mutation(
         'each object of a page is read by itself',
         'platform/store_wire.py',
-        'tuple(_readable(written.items, parse_object))',
-        'tuple(parse_object(bytes(item)) for item in written.items)',
+        'tuple(_decode_readable(decoded.items, parse_object))',
+        'tuple(parse_object(bytes(item)) for item in decoded.items)',
         'objects_foreign',
     ),
     Mutation(
@@ -267,8 +267,8 @@
     Mutation(
         'an engine is looked at though no version is new',
         'agent/weights.py',
-        '_LOOK_S: Final = 1\n',
-        '_LOOK_S: Final = 1000\n',
+        '_CHECK_INTERVAL_S: Final = 1\n',
+        '_CHECK_INTERVAL_S: Final = 1000\n',
         _INCARNATIONS,
     ),
     Mutation(
@@ -401,7 +401,7 @@
     Mutation(
         'an engine that no step can use loads at once',
         'agent/weights.py',
-        'while now < until and not self._useless(report, model):',
+        'while now < until and not self._has_unusable_weights(report, model):',
         'while now < until:',
         'agent_weights',
     ),
