--- a/bergamotdoor/__init__.py
+++ b/bergamotdoor/__init__.py
@@ -1,7 +1,7 @@
 """bergamotdoor: a rollout service for reinforcement learning.
 
-``Verdict``, ``Reason`` and ``Failure`` are loaded when they are asked for: a
-process has to take its signals over before it loads anything.
+``Verdict``, ``Reason`` and ``Failure`` are imported when they are first used:
+a process must install its signal handlers before it imports other modules.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Return a public name of the package."""
+    """Import and return a public name of the package."""
     if name not in __all__:
         raise AttributeError(f'bergamotdoor has no {name!r}')
     verdict = importlib.import_module('bergamotdoor.verdict')
--- a/bergamotdoor/__main__.py
+++ b/bergamotdoor/__main__.py
@@ -6,6 +6,6 @@
 
 take_signals()
 
-from bergamotdoor.cli.main import run  # noqa: E402 -- behind the signals
+from bergamotdoor.cli.main import run  # noqa: E402 -- after the signal handlers
 
 run()
--- a/bergamotdoor/agent/evacuation.py
+++ b/bergamotdoor/agent/evacuation.py
@@ -41,7 +41,7 @@
         self._node = node
         self._reader = ObjectReader(_log, 'agent')
         self._open_evacuations: set[str] = set()
-        self._has_open = asyncio.Event()
+        self._has_open_evacuations = asyncio.Event()
 
     def reset(self, listing: Listing) -> None:
         """Process a listing of all evacuations."""
@@ -60,8 +60,8 @@
     async def run(self) -> None:
         """Complete evacuations until cancelled."""
         while True:
-            await self._has_open.wait()
-            self._has_open.clear()
+            await self._has_open_evacuations.wait()
+            self._has_open_evacuations.clear()
             while self._open_evacuations:
                 await self._complete(min(self._open_evacuations))
 
@@ -70,7 +70,7 @@
         completed = self._reader.read(stored, is_completed)
         if stored.name == self._node and not completed:
             self._open_evacuations.add(stored.name)
-            self._has_open.set()
+            self._has_open_evacuations.set()
 
     async def _complete(self, node: str) -> None:
         outcome = await self._store.put_status(
--- a/bergamotdoor/anatomy/__init__.py
+++ b/bergamotdoor/anatomy/__init__.py
@@ -1,4 +1,7 @@
-"""What steps were made of, told from logs afterwards."""
+"""Analysis of logs: what the time of each step was spent on.
+
+A step is a trainer's batch job, from its submission to its end.
+"""
 
 from __future__ import annotations
 
--- a/bergamotdoor/anatomy/events.py
+++ b/bergamotdoor/anatomy/events.py
@@ -1,8 +1,9 @@
-"""Reads the log lines that tell of steps.
+"""Parses log lines about steps.
 
-Lines may come from any number of processes, in any order, with whatever a
-collector puts before the JSON. The clocks of the processes are taken to
-agree; all but the first and the last line of a step are its owner's.
+The lines may be from any number of processes, in any order, and may have any
+prefix that a log collector adds before the JSON. The clocks of the processes
+are assumed to agree. The owner of a step logs all lines about it but the
+first and the last.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class StepEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """Something that happened to a step."""
+    """Event of a step."""
 
     at: dt.datetime
     process: str
@@ -32,13 +33,13 @@
 
 
 class Submitted(StepEvent, frozen=True):
-    """It was taken in."""
+    """The step was submitted."""
 
     items: int
 
 
 class Owned(StepEvent, frozen=True):
-    """A process began to run it."""
+    """A process became the owner of the step."""
 
     term: int
 
@@ -54,7 +55,7 @@
 
 
 class Moved(StepEvent, frozen=True):
-    """An item was told to leave an engine."""
+    """An item was moved away from an engine."""
 
     item: ItemId
     upstream: UpstreamId
@@ -63,22 +64,23 @@
 
 
 class Listed(StepEvent, frozen=True):
-    """Results got their positions."""
+    """Results were listed, that is, got their positions."""
 
-    #: How many have one now.
+    #: The number of results listed so far.
     results: int
     took_ms: int
     target: str
 
 
 class Shown(StepEvent, frozen=True):
-    """A reader was shown results."""
+    """Results were returned to a reader."""
 
+    #: The position after the last returned result.
     until: int
 
 
 class Ended(StepEvent, frozen=True):
-    """Its trainer ended it."""
+    """The trainer ended the step."""
 
     listed: int
 
@@ -89,8 +91,8 @@
     process: str = ''
 
 
-#: How each line is written; its groups are the fields of what it tells.
-_LINES: Final = MappingProxyType(
+#: The pattern of each event's log line; its groups are the event's fields.
+_PATTERNS: Final = MappingProxyType(
     {
         RunEnded: re.compile(
             rf'{_ITEM}at (?P<upstream>\S+): (?P<end>\S+) '
@@ -115,27 +117,27 @@
 
 
 def read_events(lines: Iterable[str]) -> Iterator[StepEvent]:
-    """Return what lines of a log tell of steps; others are passed over."""
+    """Return the events of steps in lines of logs; skip other lines."""
     for line in lines:
-        written = _line(line)
-        event = None if written is None else _event(written)
+        parsed = _parse_line(line)
+        event = None if parsed is None else _parse_event(parsed)
         if event is not None:
             yield event
 
 
-def _line(text: str) -> _Line | None:
+def _parse_line(text: str) -> _Line | None:
     start = text.find('{')
     if start < 0 or 'gateway: ' not in text:
         return None
     try:
         return msgspec.json.decode(text[start:], type=_Line)
     except msgspec.MsgspecError:
-        # Cut off, or another program's.
+        # The line is truncated, or from another program.
         return None
 
 
-def _event(line: _Line) -> StepEvent | None:
-    for kind, pattern in _LINES.items():
+def _parse_event(line: _Line) -> StepEvent | None:
+    for kind, pattern in _PATTERNS.items():
         found = pattern.match(line.message)
         if found is not None:
             fields = {
@@ -143,7 +145,7 @@
                 'at': line.time,
                 'process': line.process,
             }
-            # Not strict: the groups are text, numbers as well.
+            # Not strict, since the groups of numbers are text as well.
             event: StepEvent = msgspec.convert(fields, kind, strict=False)
             return event
     return None
--- a/bergamotdoor/anatomy/report.py
+++ b/bergamotdoor/anatomy/report.py
@@ -1,4 +1,4 @@
-"""Shows what steps were made of, as text."""
+"""Formats the anatomy of steps as text."""
 
 from __future__ import annotations
 
@@ -10,60 +10,61 @@
 
     from bergamotdoor.anatomy.steps import ItemRun, StepAnatomy
 
-#: Columns of a timeline, the step's whole time.
-_WIDTH: Final = 60
-#: Of ids, which are told apart by less.
+#: The width of a timeline, which stands for the whole time of a step.
+_TIMELINE_CHARS: Final = 60
+#: The number of characters shown of an id; fewer distinguish ids.
 _ID_CHARS: Final = 12
-_COUNTS: Final = ('items', 'owners', 'refused', 'moved')
-_TIMES: Final = ('first_item', 'last_text', 'listed', 'shown', 'ended')
+_COUNT_COLUMNS: Final = ('items', 'owners', 'refused', 'moved')
+_TIME_COLUMNS: Final = ('first_item', 'last_text', 'listed', 'shown', 'ended')
 
 
 def table(steps: Iterable[StepAnatomy], pace_s: float | None) -> Iterator[str]:
-    """Return a line for each step; times in seconds from its taking in.
+    """Format a line per step; times are seconds from the step's submission.
 
     Parameters
     ----------
     steps
-        What happened to each.
+        The anatomy of each step.
     pace_s
-        Seconds an event takes at a usual engine; None is not known.
+        The time per event of a usual engine, in seconds; ``None`` if
+        unknown.
     """
-    headings = ('step', *_COUNTS, *_TIMES, 'floor')
-    found = [headings, *(_row(step, pace_s) for step in steps)]
+    headings = ('step', *_COUNT_COLUMNS, *_TIME_COLUMNS, 'floor')
+    found = [headings, *(_format_row(step, pace_s) for step in steps)]
     widths = [max(map(len, column)) for column in zip(*found, strict=True)]
     for row in found:
         cells = zip(row, widths, strict=True)
         yield '  '.join(cell.rjust(width) for cell, width in cells)
 
 
-def _row(step: StepAnatomy, pace_s: float | None) -> tuple[str, ...]:
-    counts = (str(getattr(step, name)) for name in _COUNTS)
-    times = (_seconds(getattr(step, name)) for name in _TIMES)
+def _format_row(step: StepAnatomy, pace_s: float | None) -> tuple[str, ...]:
+    counts = (str(getattr(step, name)) for name in _COUNT_COLUMNS)
+    times = (_format_seconds(getattr(step, name)) for name in _TIME_COLUMNS)
     floor = None if pace_s is None else step.floor(pace_s)
-    return (step.job[:_ID_CHARS], *counts, *times, _seconds(floor))
+    return (step.job[:_ID_CHARS], *counts, *times, _format_seconds(floor))
 
 
 def timeline(step: StepAnatomy) -> Iterator[str]:
-    """Draw the runs of the item that a step waited for longest."""
+    """Draw the runs of the item that the step waited for longest."""
     whole = step.ended or step.shown or step.last_text
     if not whole:
         return
     for run in step.slowest:
-        begin = int(run.began / whole * _WIDTH)
-        end = max(int(run.ended / whole * _WIDTH), begin + 1)
+        begin = int(run.began / whole * _TIMELINE_CHARS)
+        end = max(int(run.ended / whole * _TIMELINE_CHARS), begin + 1)
         drawn = '=' * (end - begin)
-        line = drawn.rjust(end).ljust(_WIDTH)[:_WIDTH]
-        yield f'|{line}| {_told(run)}'
+        line = drawn.rjust(end).ljust(_TIMELINE_CHARS)[:_TIMELINE_CHARS]
+        yield f'|{line}| {_describe_run(run)}'
 
 
-def _told(run: ItemRun) -> str:
-    began = _seconds(run.began)
-    ended = _seconds(run.ended)
+def _describe_run(run: ItemRun) -> str:
+    began = _format_seconds(run.began)
+    ended = _format_seconds(run.ended)
     where = run.upstream[:_ID_CHARS]
     return f'{began} to {ended} s at {where}: {run.end}, {run.events} events'
 
 
-def _seconds(time: dt.timedelta | None) -> str:
+def _format_seconds(time: dt.timedelta | None) -> str:
     if time is None:
         return '-'
     seconds = time.total_seconds()
--- a/bergamotdoor/anatomy/steps.py
+++ b/bergamotdoor/anatomy/steps.py
@@ -1,4 +1,4 @@
-"""Puts together what happened to each step, and what it could have taken."""
+"""Combines the events of each step, and computes its minimum time."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-#: A shorter run tells too little of an engine's pace: it holds the wait for
-#: a prompt as well.
-_LEAST_EVENTS: Final = 40
+#: The fewest events of a run from which an engine's pace is computed. The
+#: time of a run includes that of its prompt, which weighs too much in a
+#: shorter run.
+_MIN_PACE_EVENTS: Final = 40
 _MS_PER_S: Final = 1000
 _REACHED: Final = 'reached'
 _COMPLETED: Final = 'completed'
 
 
 class ItemRun(msgspec.Struct, frozen=True):
-    """A run of an item, from the step's taking in."""
+    """Run of an item; times count from the submission of the step."""
 
     item: ItemId
     upstream: UpstreamId
@@ -43,109 +44,117 @@
 
 
 class StepAnatomy(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a step's time went; times count from its taking in.
+    """What a step's time was spent on; times count from its submission.
 
-    A time is None where no line tells it.
+    A time is ``None`` if no log line shows it.
     """
 
     job: JobId
-    #: When it was taken in.
+    #: When the step was submitted.
     at: dt.datetime
     items: int
     owners: int
     refused: int
     moved: int
     first_item: dt.timedelta | None
-    #: When the last item that was needed had its text.
+    #: When the text of the last needed item was complete.
     last_text: dt.timedelta | None
-    #: When the results were listed that its trainer could go on with.
+    #: When the results were listed that the trainer needs to continue.
     listed: dt.timedelta | None
-    #: When a reader was shown them first.
+    #: When these results were first returned to a reader.
     shown: dt.timedelta | None
     ended: dt.timedelta | None
-    #: How many events the longest item had that was needed.
+    #: The number of events of the longest needed item.
     longest: int
-    #: The runs of the item that was needed and had its text last.
+    #: The runs of the needed item whose text was complete last.
     slowest: tuple[ItemRun, ...]
 
     def floor(self, pace_s: float) -> dt.timedelta:
-        """Return how long it takes at least at a pace, in s per event."""
+        """Return the minimum time of the step at a pace in s per event."""
         return dt.timedelta(seconds=self.longest * pace_s)
 
 
 def gather_steps(events: Iterable[StepEvent]) -> Iterator[StepAnatomy]:
-    """Return what happened to each step, in the order of taking in."""
+    """Return the anatomy of each step, in the order of submission."""
     by_job: dict[JobId, list[StepEvent]] = {}
     for event in events:
         by_job.setdefault(event.job, []).append(event)
-    steps = (_step(job, found) for job, found in by_job.items())
+    steps = (_build_step(job, found) for job, found in by_job.items())
     known = [step for step in steps if step is not None]
     yield from sorted(known, key=lambda step: step.at)
 
 
 def usual_pace_s(events: Iterable[StepEvent]) -> float | None:
-    """Return the median pace of whole runs, in s per event.
+    """Return the median pace of complete runs, in s per event.
 
-    The fastest would not do: a run that went on behind another one's events
-    looks faster than any engine is.
+    The fastest run would mislead: a run that continues after the events of
+    an earlier run appears faster than any engine is.
     """
     paces = (
         one.took_ms / _MS_PER_S / one.events
         for one in events
         if isinstance(one, RunEnded)
         and one.end == _COMPLETED
-        and one.events >= _LEAST_EVENTS
+        and one.events >= _MIN_PACE_EVENTS
     )
     found = sorted(paces)
     return found[len(found) // 2] if found else None
 
 
-def _step(job: JobId, events: list[StepEvent]) -> StepAnatomy | None:
+def _build_step(job: JobId, events: list[StepEvent]) -> StepAnatomy | None:
     events.sort(key=lambda event: event.at)
-    taken_in = next((one for one in events if isinstance(one, Submitted)), None)
-    if taken_in is None:
+    submitted = next(
+        (one for one in events if isinstance(one, Submitted)), None
+    )
+    if submitted is None:
         return None
-    listed = _first(
-        taken_in,
+    listed = _time_of_first(
+        submitted,
         (
             one
             for one in events
             if isinstance(one, Listed) and one.target == _REACHED
         ),
     )
-    runs = [_run(taken_in, one) for one in events if isinstance(one, RunEnded)]
-    needed = _needed(runs, listed)
+    runs = [
+        _build_run(submitted, one)
+        for one in events
+        if isinstance(one, RunEnded)
+    ]
+    needed = _needed_runs(runs, listed)
     last = max(needed, key=lambda run: run.ended, default=None)
     return StepAnatomy(
         job=job,
-        at=taken_in.at,
-        items=taken_in.items,
+        at=submitted.at,
+        items=submitted.items,
         owners=sum(isinstance(one, Owned) for one in events),
         refused=sum(run.end == 'refused' for run in runs),
         moved=sum(isinstance(one, Moved) for one in events),
         first_item=min((run.began for run in runs), default=None),
         last_text=None if last is None else last.ended,
         listed=listed,
-        shown=_first(taken_in, _shown_after(taken_in, events, listed)),
-        ended=_first(taken_in, filter(_is_end, events)),
+        shown=_time_of_first(
+            submitted, _shown_after(submitted, events, listed)
+        ),
+        ended=_time_of_first(submitted, filter(_is_ended, events)),
         longest=max((run.events for run in needed), default=0),
-        slowest=_chain(taken_in, events, runs, last),
+        slowest=_item_runs(submitted, events, runs, last),
     )
 
 
-def _is_end(event: StepEvent) -> bool:
+def _is_ended(event: StepEvent) -> bool:
     return isinstance(event, Ended)
 
 
-def _first(
-    taken_in: Submitted, events: Iterable[StepEvent]
+def _time_of_first(
+    submitted: Submitted, events: Iterable[StepEvent]
 ) -> dt.timedelta | None:
     found = next(iter(events), None)
-    return None if found is None else found.at - taken_in.at
+    return None if found is None else found.at - submitted.at
 
 
-def _run(taken_in: Submitted, event: RunEnded) -> ItemRun:
-    ended = event.at - taken_in.at
+def _build_run(submitted: Submitted, event: RunEnded) -> ItemRun:
+    ended = event.at - submitted.at
     return ItemRun(
         event.item,
         event.upstream,
@@ -156,10 +165,10 @@
     )
 
 
-def _needed(
+def _needed_runs(
     runs: Iterable[ItemRun], listed: dt.timedelta | None
 ) -> list[ItemRun]:
-    """Return the whole runs whose texts were there when the target was."""
+    """Return the complete runs that ended before their step was listed."""
     return [
         run
         for run in runs
@@ -168,30 +177,34 @@
 
 
 def _shown_after(
-    taken_in: Submitted,
+    submitted: Submitted,
     events: Iterable[StepEvent],
     listed: dt.timedelta | None,
 ) -> Iterator[Shown]:
     for event in events:
         if listed is None or not isinstance(event, Shown):
             continue
-        if event.at - taken_in.at >= listed:
+        if event.at - submitted.at >= listed:
             yield event
 
 
-def _chain(
-    taken_in: Submitted,
+def _item_runs(
+    submitted: Submitted,
     events: Iterable[StepEvent],
     runs: Iterable[ItemRun],
     last: ItemRun | None,
 ) -> tuple[ItemRun, ...]:
-    """Return all runs of an item; one that moved has no line of its end."""
+    """Return all runs of the item of `last`.
+
+    A run from which the item was moved has no log line of its end. It ends
+    with the move, and begins with the end of the run before.
+    """
     if last is None:
         return ()
     found = [run for run in runs if run.item == last.item]
     for event in events:
         if isinstance(event, Moved) and event.item == last.item:
-            left = event.at - taken_in.at
+            left = event.at - submitted.at
             began = max(
                 (run.ended for run in found if run.ended < left),
                 default=dt.timedelta(),
--- a/bergamotdoor/cli/anatomy.py
+++ b/bergamotdoor/cli/anatomy.py
@@ -1,4 +1,4 @@
-"""The command ``anatomy``: what steps were made of, from logs."""
+"""The command ``anatomy``: shows from logs how steps spent their time."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 _JSON: Final = 'json'
 _JOB: Final = 'job'
-_STDIN: Final = '-'
+_STDIN_NAME: Final = '-'
 
 
 def _run(invocation: Invocation) -> int:
     if not invocation.words:
         raise UsageError('at least one LOG is expected, - for standard input')
-    events = list(read_events(_lines(invocation.words)))
+    events = list(read_events(_read_lines(invocation.words)))
     pace_s = usual_pace_s(events)
     job = str(invocation.given[_JOB] or '')
     steps = [step for step in gather_steps(events) if step.job.startswith(job)]
@@ -41,16 +41,16 @@
         complain('bergamotdoor anatomy: no step in these logs')
         return ExitCode.REFUSED
     if invocation.given[_JSON]:
-        written = msgspec.json.encode(steps).decode()
-        sys.stdout.write(f'{written}\n')
+        text_json = msgspec.json.encode(steps).decode()
+        sys.stdout.write(f'{text_json}\n')
     else:
-        _print(steps, pace_s, drawn=bool(job))
+        _print_steps(steps, pace_s, with_timelines=bool(job))
     return ExitCode.OK
 
 
-def _lines(names: Iterable[str]) -> Iterator[str]:
+def _read_lines(names: Iterable[str]) -> Iterator[str]:
     for name in names:
-        if name == _STDIN:
+        if name == _STDIN_NAME:
             yield from sys.stdin
             continue
         try:
@@ -60,13 +60,15 @@
         yield from text.splitlines()
 
 
-def _print(steps: list[StepAnatomy], pace_s: float | None, drawn: bool) -> None:
-    _write(table(steps, pace_s))
+def _print_steps(
+    steps: list[StepAnatomy], pace_s: float | None, with_timelines: bool
+) -> None:
+    _print_lines(table(steps, pace_s))
     for step in steps:
-        _write(timeline(step) if drawn else ())
+        _print_lines(timeline(step) if with_timelines else ())
 
 
-def _write(lines: Iterable[str]) -> None:
+def _print_lines(lines: Iterable[str]) -> None:
     sys.stdout.writelines(f'{line}\n' for line in lines)
 
 
--- a/bergamotdoor/cli/codes.py
+++ b/bergamotdoor/cli/codes.py
@@ -6,16 +6,16 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a script can tell by a command's end."""
+    """Exit codes, by which scripts distinguish the outcomes of a command."""
 
     OK = 0
-    #: The settings, the document or the request were refused; also a
-    #: daemon that could not start or stop as it should.
+    #: The settings, the document or the request were rejected, or a daemon
+    #: failed to start, or to stop in time.
     REFUSED = 1
     #: The command line is wrong.
     USAGE = 2
-    #: No answer, or none that tells the outcome; the text says whether
-    #: the request may have run.
+    #: There was no response, or none that shows the outcome; the printed
+    #: text says whether the request may have run.
     UNREACHABLE = 3
-    #: Somebody else changed the configuration first.
+    #: The configuration was changed by somebody else first.
     LOST_RACE = 4
--- a/bergamotdoor/cli/command.py
+++ b/bergamotdoor/cli/command.py
@@ -1,4 +1,4 @@
-"""Commands, their flags and their help."""
+"""Commands with their flags and help texts."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from bergamotdoor.cli.codes import ExitCode
 from bergamotdoor.cli.text import columns, complain
 
-_HELP: Final = frozenset(('--help', '-help', '-h'))
+_HELP_FLAGS: Final = frozenset(('--help', '-help', '-h'))
 
 
 class UsageError(Exception):
-    """The command line is wrong; the message says how."""
+    """The command line is wrong; the message says why."""
 
 
 class Option(msgspec.Struct, frozen=True):
-    """One flag of a command.
+    """Flag of a command.
 
     Parameters
     ----------
     name
-        Without the dashes; words joined by underscores.
+        The name without dashes, with words joined by underscores.
     metavar
-        Stands for the value in the help; empty for a switch.
+        The placeholder for the value in the help; empty for a switch.
     text
-        One line of help.
+        The help text of the flag.
     default
         The value if the flag is not given.
     define
-        The ``absl.flags`` function that defines it.
+        The ``absl.flags`` function that defines the flag.
     bounds
-        Further arguments for `define`.
+        Further arguments of `define`, such as limits of the value.
     """
 
     name: str
@@ -45,7 +45,7 @@
     bounds: dict[str, Any] = {}
 
     def define_in(self, values: Any) -> None:
-        """Define the flag in `values` and nowhere else."""
+        """Define the flag in `values`, but not in the global flags."""
         self.define(
             name=self.name,
             default=self.default,
@@ -56,7 +56,7 @@
 
     @property
     def usage(self) -> str:
-        """How the flag is written."""
+        """The flag as it is written on the command line."""
         dashed = self.name.replace('_', '-')
         if self.metavar:
             return f'--{dashed}={self.metavar}'
@@ -64,14 +64,14 @@
 
 
 class Invocation(msgspec.Struct, frozen=True):
-    """A command line after parsing.
+    """Parsed command line.
 
     Parameters
     ----------
     words
-        What is left beside the flags.
+        The positional arguments.
     given
-        The value of each flag by its name.
+        The value of each flag by the flag's name.
     """
 
     words: tuple[str, ...]
@@ -82,20 +82,20 @@
 
 
 class Command(msgspec.Struct, frozen=True, kw_only=True):
-    """One command.
+    """Command with flags.
 
     Parameters
     ----------
     name
-        The first word after ``bergamotdoor``.
+        The name of the command, the first word after ``bergamotdoor``.
     summary
-        One line for the list of commands.
+        The first line of its help, without a full stop.
     usage
-        What follows the name.
+        The arguments after the name, as the help shows them.
     options
-        Its flags.
+        The flags of the command.
     run
-        Carries it out and returns the exit code.
+        The function that runs the command and returns the exit code.
     details
         Further lines of help.
     """
@@ -108,8 +108,8 @@
     details: str = ''
 
     def main(self, words: list[str]) -> int:
-        """Parse `words`, run the command, return its exit code."""
-        if _HELP.intersection(words):
+        """Run the command with arguments and return its exit code."""
+        if _HELP_FLAGS.intersection(words):
             print(self.help_text())
             return ExitCode.OK
         try:
@@ -120,38 +120,38 @@
             return ExitCode.USAGE
 
     def parse(self, words: list[str]) -> Invocation:
-        """Take flags and other words apart.
+        """Separate flags and positional arguments.
 
         Raises
         ------
         flags.Error
-            An unknown flag or a value that does not fit.
+            If a flag is unknown or its value is invalid.
         """
         values: Any = flags.FlagValues()  # type: ignore[no-untyped-call]
         for option in self.options:
             option.define_in(values)
         values.set_gnu_getopt(True)
-        _, *left = values([self.name, *_dashed(words)])
-        return Invocation(tuple(left), values.flag_values_dict())
+        _, *positional = values([self.name, *_normalise_flags(words)])
+        return Invocation(tuple(positional), values.flag_values_dict())
 
     def help_text(self) -> str:
-        """Return the help of the command and no other flags."""
+        """Return the help of the command, without flags of libraries."""
         lines = [f'usage: bergamotdoor {self.name} {self.usage}', '']
         lines.append(f'{self.summary}.')
         if self.details:
             lines.extend(('', self.details))
-        rows = [(option.usage, _described(option)) for option in self.options]
+        rows = [(option.usage, _option_help(option)) for option in self.options]
         return '\n'.join((*lines, '', 'flags:', *columns(rows)))
 
 
-def _described(option: Option) -> str:
+def _option_help(option: Option) -> str:
     if option.default in {None, False, ''}:
         return option.text
     return f'{option.text} (default {option.default})'
 
 
-def _dashed(words: list[str]) -> list[str]:
-    """Let ``--dry-run`` stand for ``--dry_run``, as people type it."""
+def _normalise_flags(words: list[str]) -> list[str]:
+    """Replace dashes in flag names, such as ``--dry-run``, by underscores."""
     return [_with_underscores(word) for word in words]
 
 
--- a/bergamotdoor/cli/ctl.py
+++ b/bergamotdoor/cli/ctl.py
@@ -1,4 +1,4 @@
-"""The command ``ctl``: what the running processes know and do."""
+"""The command ``ctl``: shows the state of running entries."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_TIMEOUT: Final = dt.timedelta(seconds=2)
-#: A state holds a line for each upstream and job.
-_MAX_BYTES: Final = 16_777_216
+_REQUEST_TIMEOUT: Final = dt.timedelta(seconds=2)
+#: The state contains every upstream and job that an entry knows.
+_MAX_STATE_BYTES: Final = 16_777_216
 _STATUS: Final = 'status'
 _DUMP: Final = 'dump'
 _ENTRIES: Final = 'entries'
@@ -43,7 +43,7 @@
 
 
 class Seen(msgspec.Struct, frozen=True):
-    """What was found at an address; no body where nobody answered."""
+    """State read from an address; the body is ``None`` without a response."""
 
     address: Address
     body: bytes | None
@@ -55,17 +55,17 @@
     action = invocation.words[0]
     if action not in {_STATUS, _DUMP}:
         raise UsageError(f'no subcommand {action!r}')
-    addresses = tuple(_addresses(str(invocation.given[_ENTRIES] or '')))
-    seen = asyncio.run(_ask_all(addresses))
+    addresses = tuple(_parse_addresses(str(invocation.given[_ENTRIES] or '')))
+    seen = asyncio.run(_fetch_states(addresses))
     if action == _DUMP:
-        print('\n'.join(_shown(one) for one in seen))
+        print('\n'.join(_format_dump(one) for one in seen))
     else:
         print('\n'.join(status_lines(seen)))
     silent = any(one.body is None for one in seen)
     return ExitCode.REFUSED if silent else ExitCode.OK
 
 
-def _addresses(text: str) -> Iterator[Address]:
+def _parse_addresses(text: str) -> Iterator[Address]:
     if not text:
         raise UsageError(f'--{_ENTRIES}=IP[:PORT],... is required')
     for part in text.split(','):
@@ -76,33 +76,38 @@
             raise UsageError(str(error)) from error
 
 
-async def _ask_all(addresses: tuple[Address, ...]) -> tuple[Seen, ...]:
+async def _fetch_states(addresses: tuple[Address, ...]) -> tuple[Seen, ...]:
     client = HttpClient(LoopClock())
     try:
         return tuple(
-            await asyncio.gather(*(_ask(client, one) for one in addresses))
+            await asyncio.gather(
+                *(_fetch_state(client, one) for one in addresses)
+            )
         )
     finally:
         await client.close()
 
 
-async def _ask(client: HttpClient, address: Address) -> Seen:
+async def _fetch_state(client: HttpClient, address: Address) -> Seen:
     response = await client.send(
         ClientRequest(
-            address=address, method='GET', target=STATE_PATH, timeout=_TIMEOUT
+            address=address,
+            method='GET',
+            target=STATE_PATH,
+            timeout=_REQUEST_TIMEOUT,
         )
     )
     if not isinstance(response, ClientResponse):
         return Seen(address, None)
     try:
-        return Seen(address, await response.read_body(_MAX_BYTES))
+        return Seen(address, await response.read_body(_MAX_STATE_BYTES))
     except BodyBrokenError:
-        # Told as an entry that does not answer, which it is.
+        # An incomplete response is shown as no answer.
         return Seen(address, None)
 
 
 def status_lines(seen: tuple[Seen, ...]) -> Iterator[str]:
-    """Return the state of all entries for a person."""
+    """Return readable lines about the state of all entries."""
     entries = [
         msgspec.json.decode(one.body, type=_Dump).gateway
         for one in seen
@@ -113,7 +118,7 @@
     yield f'entries: {len(entries)} of {len(seen)} answer'
     for one in seen:
         if one.body is None:
-            yield f'  {_written(one.address)}: no answer'
+            yield f'  {_format_address(one.address)}: no answer'
     yield f'manifest: {lowest} and newer in force everywhere'
     yield from _proof_lines(entries)
     yield from _duty_lines(entries)
@@ -134,7 +139,7 @@
 
 
 def _duty_lines(entries: list[GatewayState]) -> Iterator[str]:
-    """Tell who reports usage; the entries may not agree for a moment."""
+    """List who reports usage; entries may disagree for a moment."""
     held = {
         (duty.token, duty.holder): duty
         for entry in entries
@@ -154,10 +159,10 @@
             views[upstream.upstream].append(upstream)
     yield f'upstreams: {len(views)}'
     for name, known in sorted(views.items()):
-        yield f'  {name} ({known[0].service}): {_described(known)}'
+        yield f'  {name} ({known[0].service}): {_describe_upstream(known)}'
 
 
-def _described(known: list[UpstreamState]) -> str:
+def _describe_upstream(known: list[UpstreamState]) -> str:
     load = sum(view.in_flight for view in known)
     resting = sum(1 for view in known if view.resting)
     parts = [
@@ -193,12 +198,12 @@
         )
 
 
-def _shown(seen: Seen) -> str:
+def _format_dump(seen: Seen) -> str:
     body = 'null' if seen.body is None else seen.body.decode()
-    return f'{{"{_written(seen.address)}": {body}}}'
+    return f'{{"{_format_address(seen.address)}": {body}}}'
 
 
-def _written(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f'{address.ip}:{address.port}'
 
 
--- a/bergamotdoor/cli/early.py
+++ b/bergamotdoor/cli/early.py
@@ -1,10 +1,11 @@
-"""Signals that come while a process loads its modules.
-
-Failure: the platform tells a process that its settings have changed, or to
-stop, a tenth of a second after its start. Symptom: it ends as by a crash,
-since nothing has taken the signal over yet. A change is ignored, as the
-settings have not been read by then or are looked at again; a stop ends a
-process that has begun nothing, in order. The daemon takes both over later.
+"""Handlers for signals that arrive while a process loads its modules.
+
+Failure: a tenth of a second after the start of a process, the platform sends
+it a signal that its settings have changed, or that it must stop. Symptom: the
+process ends as in a crash, since it has no signal handlers yet. SIGHUP for a
+change is ignored, because the process reads the settings later, or compares
+them with the file again. SIGTERM ends the process with exit code 0, because
+it has not started any work. The daemon later installs its own handlers.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 
 
 def take_signals() -> None:
-    """Survive SIGHUP, and end in order on SIGTERM, from now on."""
+    """Ignore SIGHUP and exit with code 0 on SIGTERM from now on."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    signal.signal(signal.SIGTERM, _end)
+    signal.signal(signal.SIGTERM, _exit)
 
 
-def _end(_number: int, _frame: FrameType | None) -> None:
+def _exit(_number: int, _frame: FrameType | None) -> None:
     sys.exit(0)
--- a/bergamotdoor/cli/main.py
+++ b/bergamotdoor/cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``bergamotdoor``."""
+"""The program ``bergamotdoor``: selects and runs a command."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 
     from bergamotdoor.cli.command import Command
 
-_HELP: Final = frozenset(('--help', '-help', '-h', 'help'))
+_HELP_WORDS: Final = frozenset(('--help', '-help', '-h', 'help'))
 
 
-class _Listed(msgspec.Struct, frozen=True):
-    """A command in the list; its module is imported when it runs."""
+class _ListedCommand(msgspec.Struct, frozen=True):
+    """Listed command, whose module is only imported when the command runs."""
 
     module: str
     attribute: str
     text: str
 
 
-_COMMANDS: Final[Mapping[str, _Listed]] = MappingProxyType(
+_COMMANDS: Final[Mapping[str, _ListedCommand]] = MappingProxyType(
     {
-        'gateway': _Listed(
+        'gateway': _ListedCommand(
             'bergamotdoor.cli.node',
             'GATEWAY',
             "run an entry on the platform's machines",
         ),
-        'agent': _Listed(
+        'agent': _ListedCommand(
             'bergamotdoor.cli.node',
             'AGENT',
             'run beside an engine, or on a VM with a disk',
         ),
-        'ctl': _Listed(
+        'ctl': _ListedCommand(
             'bergamotdoor.cli.ctl',
             'CTL',
             'ask running entries what they know and do',
         ),
-        'anatomy': _Listed(
+        'anatomy': _ListedCommand(
             'bergamotdoor.cli.anatomy',
             'ANATOMY',
             'tell from logs what the time of steps was spent on',
@@ -56,22 +56,22 @@
 
 
 def run() -> None:
-    """Run the command that the process was started with."""
+    """Run the command in the arguments of the process, and exit."""
     sys.exit(main(sys.argv[1:]))
 
 
 def main(words: Sequence[str]) -> int:
-    """Run the command that `words` name and return its exit code."""
+    """Run the command named by the first argument; return the exit code."""
     if not words:
         complain(overview())
         return ExitCode.USAGE
     name, *rest = words
-    if name in _HELP:
+    if name in _HELP_WORDS:
         print(overview())
         return ExitCode.OK
     listed = _COMMANDS.get(name)
     if listed is None:
-        complain(f'bergamotdoor: no command {name!r}{_hint(name)}')
+        complain(f'bergamotdoor: no command {name!r}{_suggestion(name)}')
         return ExitCode.USAGE
     module = importlib.import_module(listed.module)
     command: Command = getattr(module, listed.attribute)
@@ -79,7 +79,7 @@
 
 
 def overview() -> str:
-    """Return the list of commands."""
+    """Return the help text that lists the commands."""
     rows = [(name, listed.text) for name, listed in _COMMANDS.items()]
     return '\n'.join(
         (
@@ -95,6 +95,6 @@
     )
 
 
-def _hint(name: str) -> str:
+def _suggestion(name: str) -> str:
     close = difflib.get_close_matches(name, _COMMANDS, n=1)
     return f', perhaps {close[0]!r}' if close else ', see bergamotdoor --help'
--- a/bergamotdoor/cli/node.py
+++ b/bergamotdoor/cli/node.py
@@ -1,4 +1,4 @@
-"""The processes on the platform's machines: ``gateway`` and ``agent``."""
+"""The commands ``gateway`` and ``agent``, which run on the platform's VMs."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
     from bergamotdoor.settings.node import NodeSettings
 
 _DEFAULT_PATH: Final = '/etc/bergamotdoor/settings.json'
-_HELP: Final = frozenset(('--help', '-help', '-h', 'help'))
+_HELP_WORDS: Final = frozenset(('--help', '-help', '-h', 'help'))
 
 
 class NodeCommand(msgspec.Struct, frozen=True):
-    """A process that takes its settings from the platform's file."""
+    """Command that runs a process with the settings file of the platform."""
 
     name: str
     text: str
 
     def main(self, words: Sequence[str]) -> int:
-        """Run until a signal asks to stop."""
+        """Run the process until a signal stops it; return the exit code."""
         if words:
-            return self._usage(asked=words[0] in _HELP)
+            return self._print_usage(requested=words[0] in _HELP_WORDS)
         path = os.environ.get(SETTINGS_VARIABLE, _DEFAULT_PATH)
         try:
-            body = _read(path)
+            body = _read_file(path)
             settings = parse_node_settings(body, path)
-            listening = _listening(settings.callers)
+            listening = _open_listener(settings.callers)
         except (SettingsError, OSError) as error:
             sys.stderr.write(f'{error}\n')
             return ExitCode.REFUSED
@@ -56,33 +56,33 @@
         path: str,
         body: bytes,
     ) -> int:
-        # Imported behind the socket, see ``_listening``.
+        # Imported after the socket is opened, see ``_open_listener``.
         from bergamotdoor.cli.reloading import ReloadingDaemon
         from bergamotdoor.cli.serving import run_daemon
 
         return run_daemon(
             lambda: ReloadingDaemon(
-                self._build(settings, listening), path, body
+                self._build_daemon(settings, listening), path, body
             ),
             LogSettings(),
             settings.node,
             settings.grace,
         )
 
-    def _usage(self, asked: bool) -> int:
+    def _print_usage(self, requested: bool) -> int:
         text = (
             f'bergamotdoor {self.name}: {self.text}\n\n'
             'It takes no arguments. The platform writes its settings to the\n'
             f'file that {SETTINGS_VARIABLE} names ({_DEFAULT_PATH} if unset).\n'
             'SIGTERM stops it gracefully, SIGHUP has it read the file again.\n'
         )
-        (sys.stdout if asked else sys.stderr).write(text)
-        return ExitCode.OK if asked else ExitCode.USAGE
+        (sys.stdout if requested else sys.stderr).write(text)
+        return ExitCode.OK if requested else ExitCode.USAGE
 
-    def _build(
+    def _build_daemon(
         self, settings: NodeSettings, listening: socket.socket | None
     ) -> NodeDaemon:
-        # Imported late: an agent must not pay memory for the gateway.
+        # Imported here: an agent must not use memory for the gateway's code.
         if listening is not None:
             from bergamotdoor.gateway.daemon import GatewayDaemon
 
@@ -100,27 +100,28 @@
 )
 
 
-def _listening(address: Address | None) -> socket.socket | None:
-    """Listen for callers, before anything else is loaded.
+def _open_listener(address: Address | None) -> socket.socket | None:
+    """Open the socket for callers before other modules are loaded.
 
-    Failure: a VM starts again, and callers come while its process loads its
-    modules. Symptom: their connections are refused, and where all VMs lost
-    power together, so is the one retry that each of them has. Connections
-    wait in this socket's queue instead for the tenth of a second that is
-    left: 43 calls that were late on 21 days with such an end became 38.
+    Failure: a VM restarts, and callers connect while its process loads its
+    modules. Symptom: their connections are refused; if all VMs lost power
+    together, so is the single retry of each caller. With an open socket,
+    connections wait in its queue for the tenth of a second that loading
+    takes: on 21 days that ended with such a power loss, 38 calls were late
+    instead of 43.
     """
     if address is None:
         return None
     return socket.create_server((address.ip, address.port))
 
 
-def _read(path: str) -> bytes:
-    """Return the settings file.
+def _read_file(path: str) -> bytes:
+    """Return the contents of the settings file.
 
     Raises
     ------
     SettingsError
-        The file can't be read.
+        If the file can't be read.
     """
     try:
         return pathlib.Path(path).read_bytes()
--- a/bergamotdoor/cli/reloading.py
+++ b/bergamotdoor/cli/reloading.py
@@ -1,4 +1,4 @@
-"""Hands a running daemon the settings file whenever it changes."""
+"""Applies changes of the settings file to a running daemon."""
 
 from __future__ import annotations
 
@@ -14,84 +14,84 @@
 if TYPE_CHECKING:
     from bergamotdoor.settings.node import NodeSettings
 
-#: The file may change without a signal; looking costs a read.
-_LOOK_EVERY_S: Final = 5
+#: How often the file is read, since it may change without a signal.
+_CHECK_INTERVAL_S: Final = 5
 
 _log = logging.getLogger('bergamotdoor.cli')
 
 
 class NodeDaemon(Protocol):
-    """A process that can take other settings while it runs."""
+    """Daemon whose settings can change while it runs."""
 
     async def start(self) -> object:
-        """Return once it serves."""
+        """Start the daemon; return when it is ready."""
 
     async def stop(self) -> None:
-        """Finish what is in progress."""
+        """Finish the work in progress and stop."""
 
     def use_settings(self, settings: NodeSettings) -> None:
-        """Take changed settings, as far as a running process can."""
+        """Apply changed settings, if they can change without a restart."""
 
 
 class ReloadingDaemon:
-    """Runs a daemon and hands it the settings file whenever it changes.
+    """Runs a daemon and applies changes of its settings file.
 
     Parameters
     ----------
     daemon
-        What runs.
+        The daemon.
     path
-        The settings file.
+        The path of the settings file.
     body
-        What it held when the daemon was built.
+        The contents of the file from which the daemon was created.
     """
 
     def __init__(self, daemon: NodeDaemon, path: str, body: bytes) -> None:
         self._daemon = daemon
         self._path = pathlib.Path(path)
-        self._known = body
-        self._asked = asyncio.Event()
-        self._watch: asyncio.Task[None] | None = None
+        self._applied_body = body
+        self._reload_requested = asyncio.Event()
+        self._check_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start the daemon and follow the file."""
+        """Start the daemon and the checks of the file."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._asked.set)
-        self._watch = asyncio.create_task(self._follow())
+        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
+        self._check_task = asyncio.create_task(self._check_file())
         await self._daemon.start()
 
     async def stop(self) -> None:
         """Stop the daemon."""
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._check_task is not None:
+            self._check_task.cancel()
         await self._daemon.stop()
 
     def reload(self) -> None:
-        """Take the file if it has changed; a bad one changes nothing."""
+        """Apply the file if it has changed and is valid."""
         try:
             body = self._path.read_bytes()
         except OSError as error:
-            _log.error('cli: settings not read: %s', error)
+            _log.error('cli: the settings file cannot be read: %s', error)
             return
-        if body == self._known:
+        if body == self._applied_body:
             return
         try:
             settings = parse_node_settings(body, str(self._path))
         except SettingsError as error:
-            _log.error('cli: changed settings refused: %s', error)
+            _log.error('cli: changed settings rejected: %s', error)
             return
-        self._known = body
-        _log.info('cli: settings changed, taken over')
+        self._applied_body = body
+        _log.info('cli: changed settings applied')
         self._daemon.use_settings(settings)
 
-    async def _follow(self) -> None:
+    async def _check_file(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(_LOOK_EVERY_S):
-                    await self._asked.wait()
+                async with asyncio.timeout(_CHECK_INTERVAL_S):
+                    await self._reload_requested.wait()
             except TimeoutError:
                 self.reload()
             else:
-                self._asked.clear()
+                self._reload_requested.clear()
                 _log.info('cli: SIGHUP received')
                 self.reload()
--- a/bergamotdoor/cli/serving.py
+++ b/bergamotdoor/cli/serving.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until a signal asks it to stop."""
+"""Runs a daemon until a signal stops it."""
 
 from __future__ import annotations
 
@@ -18,56 +18,58 @@
 
     from bergamotdoor.settings.process import LogSettings
 
-_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
-#: By convention a process that a signal ended has 128 plus its number.
-_SIGNAL_BASE: Final = 128
+_STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
+#: By convention the exit code after a signal is 128 plus its number.
+_SIGNAL_EXIT_BASE: Final = 128
 
 _log = logging.getLogger('bergamotdoor.cli')
 
 
 class Daemon(Protocol):
-    """What can be started and stopped."""
+    """Process that can be started and stopped."""
 
     async def start(self) -> object:
-        """Return once it serves."""
+        """Start the daemon; return when it is ready."""
 
     async def stop(self) -> None:
-        """Finish what is in progress, within its own bound."""
+        """Finish the work in progress within a bounded time, and stop."""
 
 
 class StopSignals:
-    """Counts the signals that ask for a stop.
+    """Handler of the signals that stop the process.
 
-    The first one asks for a graceful stop. The second ends the process at
-    once: whoever sends it has seen the graceful stop and will not wait.
+    The first signal requests a graceful stop. The second one ends the
+    process at once, since its sender doesn't want to wait any longer for
+    the graceful stop.
 
     Parameters
     ----------
     end_now
-        Ends the process with an exit code and does not return.
+        The function that ends the process with an exit code, and does not
+        return.
     """
 
     def __init__(self, end_now: Callable[[int], object]) -> None:
-        self._asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._end_now = end_now
 
     def install(self) -> None:
-        """Take SIGTERM and SIGINT over, in the running loop."""
+        """Handle SIGTERM and SIGINT in the running event loop."""
         loop = asyncio.get_running_loop()
-        for number in _SIGNALS:
+        for number in _STOP_SIGNALS:
             loop.add_signal_handler(number, self.receive, number)
 
     def receive(self, number: signal.Signals) -> None:
-        """Take one signal."""
-        if self._asked.is_set():
-            self._end_now(_SIGNAL_BASE + number)
+        """Handle one signal."""
+        if self._stop_requested.is_set():
+            self._end_now(_SIGNAL_EXIT_BASE + number)
             return
         _log.info('cli: %s received, stopping gracefully', number.name)
-        self._asked.set()
+        self._stop_requested.set()
 
     async def wait(self) -> None:
-        """Return after the first signal."""
-        await self._asked.wait()
+        """Wait until the first signal is received."""
+        await self._stop_requested.wait()
 
 
 def run_daemon(
@@ -81,13 +83,13 @@
     Parameters
     ----------
     build
-        Makes the daemon, inside the event loop.
+        The function that creates the daemon; called in the event loop.
     log
-        Where the process logs.
+        The settings of the log.
     process_name
-        Written into each line of the log.
+        The name of the process in each line of the log.
     stop_timeout
-        How long a graceful stop may take in all.
+        The maximum time of a graceful stop.
     """
     output = logs.configure(log, process_name)
     try:
@@ -107,29 +109,31 @@
 async def serve(
     daemon: Daemon, signals: StopSignals, stop_timeout: dt.timedelta
 ) -> ExitCode:
-    """Start `daemon`, wait for a signal, stop it.
+    """Start a daemon, wait for a signal to stop, and stop the daemon.
 
-    A signal during a start that hangs, such as one that waits for a
-    platform that is down, gives the start up.
+    A signal during the start cancels the start, which may hang, such as
+    while the platform is down.
 
     Parameters
     ----------
     daemon
-        What to run.
+        The daemon to run.
     signals
-        Where the stop is asked for.
+        The handler of the signals to stop.
     stop_timeout
-        How long the stop may take; beyond its own bound for requests in
-        progress, so that only a stop that hangs is cut short.
+        The maximum time of the stop. It exceeds the daemon's own limit for
+        requests in progress, so that only a stop that hangs is cancelled.
     """
     starting = asyncio.create_task(_start(daemon))
-    asked = asyncio.create_task(signals.wait())
-    await asyncio.wait((starting, asked), return_when=asyncio.FIRST_COMPLETED)
+    stop_requested = asyncio.create_task(signals.wait())
+    await asyncio.wait(
+        (starting, stop_requested), return_when=asyncio.FIRST_COMPLETED
+    )
     failed = starting.done() and not starting.result()
     if not failed:
-        await asked
-    for task in (starting, asked):
-        await _cancelled(task)
+        await stop_requested
+    for task in (starting, stop_requested):
+        await _cancel(task)
     stopped = await _stop(daemon, stop_timeout)
     return ExitCode.REFUSED if failed or not stopped else ExitCode.OK
 
@@ -138,7 +142,7 @@
     try:
         await daemon.start()
     except OSError as error:
-        # Most often a port that another process has.
+        # The usual cause is a port that another process uses.
         _log.error('cli: the start failed: %s', error)
         return False
     return True
@@ -149,12 +153,14 @@
         async with asyncio.timeout(timeout.total_seconds()):
             await daemon.stop()
     except TimeoutError:
-        _log.error('cli: the stop took more than %s and was cut', timeout)
+        _log.error(
+            'cli: the stop took longer than %s and was cancelled', timeout
+        )
         return False
     return True
 
 
-async def _cancelled(task: asyncio.Task[object]) -> None:
+async def _cancel(task: asyncio.Task[object]) -> None:
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
--- a/bergamotdoor/observe/call_counts.py
+++ b/bergamotdoor/observe/call_counts.py
@@ -1,4 +1,7 @@
-"""Counts a process's calls of the store, which are limited and priced."""
+"""Counts the calls that a process makes to the store.
+
+The platform limits these calls and charges for them.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +14,23 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-#: Each job has a kind of its own; they are counted as one.
+#: Each job has its own kind of objects; all are counted under this one.
 _JOB_KIND: Final = 'job'
 
 
 class CallType(enum.Enum):
-    """What a call of the store does."""
+    """Type of a call to the store."""
 
     WATCH = 'watch'
     LIST = 'list'
-    #: A listing that may be seconds old; it costs a tenth.
+    #: A listing that may be seconds old; it costs a tenth of a call.
     STALE_LIST = 'stale-list'
     READ = 'read'
     WRITE = 'write'
 
 
 class StoreCalls(msgspec.Struct, frozen=True):
-    """How many calls of one type were made for a kind of objects."""
+    """Number of calls of one type for one kind of objects."""
 
     call: CallType
     kind: str
@@ -35,17 +38,17 @@
 
 
 class CallCounts:
-    """Calls by type and kind since the start."""
+    """Numbers of calls to the store since the start, by type and kind."""
 
     def __init__(self) -> None:
         self._counts: Counter[tuple[CallType, str]] = Counter()
 
     def add(self, call: CallType, kind: str) -> None:
-        """Count a call that is made."""
-        short = _JOB_KIND if kind.startswith(f'{_JOB_KIND}-') else kind
-        self._counts[call, short] += 1
+        """Count one call."""
+        counted_kind = _JOB_KIND if kind.startswith(f'{_JOB_KIND}-') else kind
+        self._counts[call, counted_kind] += 1
 
     def __iter__(self) -> Iterator[StoreCalls]:
-        """Return the counts, the largest first."""
+        """Iterate over the counts, the largest first."""
         for (call, kind), count in self._counts.most_common():
             yield StoreCalls(call, kind, count)
--- a/bergamotdoor/observe/dump.py
+++ b/bergamotdoor/observe/dump.py
@@ -1,4 +1,4 @@
-"""A dump of a process's state, on request."""
+"""Dumps the state of a process on request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 _log: Final = logging.getLogger('bergamotdoor.observe')
 
-#: The most that one part may add to the dump.
+#: The maximum size of one part in the dump.
 MAX_PART_BYTES: Final = 4_194_304
 REDACTED: Final = '(redacted)'
 #: Last words of the names of secret fields, such as ``shared_key``.
@@ -24,23 +24,23 @@
         'authorization',
     )
 )
-#: Not a secret: it numbers the takings of a lease.
+#: Not secret: a fencing token only numbers the acquisitions of a lease.
 _PUBLIC_NAMES: Final = frozenset(('fencing_token', 'highest_fencing_token'))
 
 
 class Dumpable(Protocol):
-    """A part of a process that can show its state."""
+    """Part of a process that can return its state."""
 
     def dump(self) -> msgspec.Struct:
-        """Return the state now; must not wait, and must stay small."""
+        """Return the current state, which must be small, without waiting."""
 
 
 class DumpTooLargeError(Exception):
-    """A part's state is above the bound of one part."""
+    """The state of a part exceeds the maximum size of a part."""
 
 
 class PartError(msgspec.Struct, frozen=True):
-    """Stands in the dump for a part that could not be dumped.
+    """Placeholder in the dump for a part that could not be dumped.
 
     ``error`` names the type of the exception.
     """
@@ -49,10 +49,10 @@
 
 
 class DumpRegistry:
-    """Collects the states of a process's parts.
+    """Collects the states of the parts of a process.
 
-    A dump is asked for when something is wrong, so one broken part must
-    not hide the others: its error takes its place.
+    A dump is requested when something is wrong, so one broken part must
+    not hide the others: the dump contains the type of its error instead.
     """
 
     def __init__(self) -> None:
@@ -64,14 +64,14 @@
         Raises
         ------
         ValueError
-            If the name is taken.
+            If a part is already registered under that name.
         """
         if name in self._parts:
             raise ValueError(f'dump: two parts are named {name!r}')
         self._parts[name] = part
 
     def collect(self) -> bytes:
-        """Return all states as one JSON object, secrets redacted."""
+        """Return all states as one JSON object, with secrets redacted."""
         dumped = {
             name: msgspec.Raw(_dump_part(name, part))
             for name, part in self._parts.items()
@@ -85,7 +85,7 @@
     Parameters
     ----------
     state
-        Plain containers and scalars, as ``msgspec.to_builtins`` gives.
+        Plain containers and scalars, as ``msgspec.to_builtins`` returns.
 
     Examples
     --------
@@ -106,22 +106,24 @@
     if not isinstance(name, str) or name in _PUBLIC_NAMES:
         return False
     last_word = name.lower().replace('-', '_').rpartition('_')[-1]
-    # An empty one stays visible: it tells that none is set.
+    # An empty value stays visible: it shows that no secret is set.
     return last_word in _SECRET_WORDS and bool(field)
 
 
 def _dump_part(name: str, part: Dumpable) -> bytes:
     try:
-        return _encode(part)
+        return _encode_state(part)
     except Exception as error:
-        _log.exception('observe: no dump of %s', name)
-        # Its message could quote a secret; it is in the log, behind the
-        # machine's own access control.
+        _log.exception('observe: the state of %s cannot be dumped', name)
+        # The error's message could contain a secret. It is only written to
+        # the log, which the machine's access control protects.
         return msgspec.json.encode(PartError(type(error).__name__))
 
 
-def _encode(part: Dumpable) -> bytes:
-    state = msgspec.to_builtins(part.dump(), str_keys=True, enc_hook=_opaque)
+def _encode_state(part: Dumpable) -> bytes:
+    state = msgspec.to_builtins(
+        part.dump(), str_keys=True, enc_hook=_type_in_parentheses
+    )
     encoded = msgspec.json.encode(redact(state))
     if len(encoded) > MAX_PART_BYTES:
         raise DumpTooLargeError(
@@ -130,6 +132,6 @@
     return encoded
 
 
-def _opaque(field: object) -> str:
-    # Its text could hold a secret that no field name gives away.
+def _type_in_parentheses(field: object) -> str:
+    # The text of the object could contain a secret that no field name shows.
     return f'({type(field).__name__})'
--- a/bergamotdoor/observe/events.py
+++ b/bergamotdoor/observe/events.py
@@ -1,4 +1,4 @@
-"""What the processes on the platform's machines count."""
+"""Events that processes count in their metrics."""
 
 from __future__ import annotations
 
@@ -6,19 +6,20 @@
 
 
 class Counted(enum.Enum):
-    """Events that explain a failure afterwards."""
+    """Counted events, which help to explain a failure afterwards."""
 
     CALL_ANSWERED = 'calls_answered'
     CALL_REFUSED = 'calls_refused'
     CALL_UNCLEAR = 'calls_unclear'
     CALL_WITHOUT_ROUTE = 'calls_without_route'
-    #: Requests whose key is none, or was taken away.
+    #: Requests whose key is unknown or revoked.
     REQUEST_DENIED = 'requests_denied'
-    #: Requests that came while revoked keys could not be known.
+    #: Requests received while the manifest, and so the set of revoked keys,
+    #: was not proven current.
     REQUEST_UNPROVEN = 'requests_unproven'
-    #: Attempts that gave no whole answer.
+    #: Attempts without a complete response.
     ATTEMPT_FAILED = 'call_attempts_failed'
-    #: Upstreams that ended while they ran a request, a request each.
+    #: Ends of upstreams while they ran requests, counted once per request.
     UPSTREAM_ENDED = 'upstreams_ended_under_requests'
     CALL_QUARANTINED = 'calls_quarantined'
     ITEM_QUARANTINED = 'items_quarantined'
--- a/bergamotdoor/observe/exposition.py
+++ b/bergamotdoor/observe/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics as text, one series a line."""
+"""Formats metrics as text, one series per line."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
     snapshot: MetricsSnapshot, store_calls: Iterable[StoreCalls] = ()
 ) -> str:
     """Return all series as ``name{labels} value`` lines."""
-    lines = [_counter(counter) for counter in snapshot.counters]
-    lines.extend(_store_calls(calls) for calls in store_calls)
+    lines = [_format_counter(counter) for counter in snapshot.counters]
+    lines.extend(_format_store_calls(calls) for calls in store_calls)
     for summary in snapshot.latencies:
-        lines.extend(_summary(summary))
+        lines.extend(_format_summary(summary))
     return '\n'.join((*lines, ''))
 
 
-def _store_calls(calls: StoreCalls) -> str:
+def _format_store_calls(calls: StoreCalls) -> str:
     call = calls.call.value
     labels = f'call="{call}",kind="{calls.kind}"'
     return f'{_PREFIX}_store_calls_total{{{labels}}} {calls.count}'
 
 
-def _counter(counter: CounterValue) -> str:
+def _format_counter(counter: CounterValue) -> str:
     labels = f'service="{counter.service}"'
     return f'{_PREFIX}_{counter.name}_total{{{labels}}} {counter.count}'
 
 
-def _summary(summary: LatencySummary) -> Iterator[str]:
+def _format_summary(summary: LatencySummary) -> Iterator[str]:
     name = f'{_PREFIX}_{summary.stage}_latency'
     labels = f'service="{summary.service}"'
     quantiles = (
--- a/bergamotdoor/observe/logs.py
+++ b/bergamotdoor/observe/logs.py
@@ -1,4 +1,4 @@
-"""Writes logs as JSON lines without holding up the event loop."""
+"""Writes logs as JSON lines without blocking the event loop."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 from typing import Final, Protocol, TypeAlias
 
 ROOT_NAME: Final = 'bergamotdoor'
-#: Records that wait for a slow disk or pipe; more are dropped.
+#: The maximum number of records queued for a slow disk or pipe. Further
+#: records are dropped.
 QUEUE_SIZE: Final = 4096
-#: How long a stop waits for a slow destination, twice at most.
+#: The timeout of each of at most two waits for a slow destination at a stop.
 STOP_TIMEOUT: Final = dt.timedelta(seconds=2)
 _LEVELS: Final = ('debug', 'info', 'warning', 'error')
-#: Attributes of a record that are written, and under which name.
-_FORMAT: Final = '%(levelname)s %(name)s %(message)s'
-_NAMES: Final = (
+#: The attributes of a record that are written.
+_RECORD_FORMAT: Final = '%(levelname)s %(name)s %(message)s'
+#: The JSON names of attributes that are not written under their own.
+_RENAMED_ATTRIBUTES: Final = (
     ('levelname', 'level'),
     ('name', 'logger'),
 )
 
 
-#: None is the end mark.
-_Records: TypeAlias = 'queue.Queue[logging.LogRecord | None]'
+#: ``None`` marks the end of the records.
+_RecordQueue: TypeAlias = 'queue.Queue[logging.LogRecord | None]'
 
 
 class LogDestination(Protocol):
-    """The log settings of a process, as far as they are read here."""
+    """The log settings of a process that are used here."""
 
     @property
     def level(self) -> str:
@@ -40,61 +42,61 @@
 
     @property
     def file(self) -> str:
-        """The file to append to; empty for standard output."""
+        """The file to append to; if empty, standard output is used."""
 
 
 class LogOutput:
-    """Carries records from the program to their destination.
+    """Writes the records of the program to their destination.
 
-    Failure: a full disk or a reader that stalls makes a write block for
-    seconds. Symptom: the event loop stands still and every link of the
-    process counts as silent. A thread does the writing, and what its
-    bounded queue can't take is dropped and counted, so a log line never
-    holds up a request.
+    Failure: a full disk or a stalled reader blocks a write for seconds.
+    Symptom: the event loop is blocked, and all peers find the process
+    unresponsive. The records are therefore written by a thread. Those that
+    don't fit into its bounded queue are dropped and counted, so a log line
+    never delays a request.
     """
 
     def __init__(
         self, handler: logging.Handler, queue_size: int = QUEUE_SIZE
     ) -> None:
-        records: _Records = queue.Queue(queue_size)
+        records: _RecordQueue = queue.Queue(queue_size)
         self._handler = handler
-        self._intake = _Intake(records)
-        self._writer = _Writer(records, handler)
+        self._queue_handler = _DroppingQueueHandler(records)
+        self._writer = _QueueWriter(records, handler)
 
     @property
     def dropped(self) -> int:
-        """How many records found the queue full."""
-        return self._intake.dropped
+        """The number of records dropped because the queue was full."""
+        return self._queue_handler.dropped
 
     def start(self, level: str) -> None:
-        """Take the records of the whole program at `level` and above."""
+        """Start to write the program's records of `level` and above."""
         root = logging.getLogger(ROOT_NAME)
         root.setLevel(level.upper())
-        root.addHandler(self._intake)
+        root.addHandler(self._queue_handler)
         root.propagate = False
         self._writer.start()
 
     def stop(self) -> None:
-        """Write what is queued; give up on a destination that stalls."""
-        logging.getLogger(ROOT_NAME).removeHandler(self._intake)
+        """Write the queued records, unless the destination stalls too long."""
+        logging.getLogger(ROOT_NAME).removeHandler(self._queue_handler)
         if self._writer.finish():
             self._handler.close()
 
 
 def configure(settings: LogDestination, process_name: str) -> LogOutput:
-    """Send the program's logs where `settings` say.
+    """Start to write the program's logs as JSON lines.
 
     Parameters
     ----------
     settings
-        Level and file; ``settings.process.LogSettings`` fits.
+        The level and file, such as ``settings.process.LogSettings``.
     process_name
-        Written as ``process`` in each line.
+        The name written as ``process`` in each line.
 
     Returns
     -------
     LogOutput
-        To be stopped when the process ends.
+        The running output, to be stopped before the process ends.
 
     Raises
     ------
@@ -108,7 +110,7 @@
         )
     handler: logging.Handler = logging.StreamHandler(sys.stdout)
     if settings.file:
-        # Reopens the file after a log rotation has moved it away.
+        # This handler reopens the file after a log rotation has renamed it.
         handler = WatchedFileHandler(settings.file)
     handler.setFormatter(_json_formatter(process_name))
     output = LogOutput(handler)
@@ -117,49 +119,49 @@
 
 
 def _json_formatter(process_name: str) -> logging.Formatter:
-    # Imported late: programs that only use the library don't pay for it.
+    # Imported here: programs that only use the library don't load it.
     from pythonjsonlogger.msgspec import MsgspecFormatter
 
     return MsgspecFormatter(
-        _FORMAT,
-        rename_fields=dict(_NAMES),
+        _RECORD_FORMAT,
+        rename_fields=dict(_RENAMED_ATTRIBUTES),
         timestamp='time',
         static_fields={'process': process_name},
     )
 
 
-class _Intake(QueueHandler):
-    """Queues records; counts those that don't fit."""
+class _DroppingQueueHandler(QueueHandler):
+    """Handler that queues records, and counts those that it drops."""
 
-    def __init__(self, records: _Records) -> None:
+    def __init__(self, records: _RecordQueue) -> None:
         super().__init__(records)
         self.dropped = 0
         self._records = records
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue `record`, or drop it if the queue is full."""
+        """Queue `record`; drop it if the queue is full."""
         try:
             self._records.put_nowait(record)
         except queue.Full:
             self.dropped += 1
 
 
-class _Writer(QueueListener):
-    """Writes queued records on a thread that ends in bounded time."""
+class _QueueWriter(QueueListener):
+    """Thread that writes queued records and ends within bounded time."""
 
-    def __init__(self, records: _Records, handler: logging.Handler) -> None:
+    def __init__(self, records: _RecordQueue, handler: logging.Handler) -> None:
         super().__init__(records, handler)
         self._records = records
 
     def enqueue_sentinel(self) -> None:
-        """Queue the end mark; wait for room, unlike the inherited one."""
+        """Queue the end mark; unlike the inherited method, wait for space."""
         self._records.put(None, timeout=STOP_TIMEOUT.total_seconds())
 
     def finish(self) -> bool:
-        """Ask the thread to end; return whether it did in time.
+        """Stop the thread; return whether it ended in time.
 
-        The inherited ``stop`` waits for good when the destination stalls,
-        so the process would never end.
+        The inherited ``stop`` waits without a timeout. While the destination
+        stalls, the process would never end.
         """
         thread = self._thread
         try:
--- a/bergamotdoor/observe/metrics.py
+++ b/bergamotdoor/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Latencies as histograms, and counters, in bounded memory."""
+"""Latency histograms and counters that use bounded memory."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
     from hdrh.histogram import HdrHistogram
 
-#: Stands for a part of the process that serves no single service.
+#: The service of measurements that belong to no single service.
 NO_SERVICE: Final = ServiceId('')
-#: Where series beyond the bound are kept together.
+#: The service under which series beyond the bounds are counted together.
 OVERFLOW: Final = ServiceId('(other)')
 #: A histogram takes about 20 KB, so 64 of them 1.3 MB.
 MAX_HISTOGRAMS: Final = 64
 MAX_COUNTERS: Final = 1024
 
 _US_PER_SECOND: Final = 1_000_000
-#: The histograms' range; what is longer counts as the longest.
+#: The range of the histograms; a longer latency counts as the highest one.
 _LOWEST_US: Final = 100
 _HIGHEST_US: Final = 3_600_000_000
 _SIGNIFICANT_DIGITS: Final = 2
@@ -31,25 +31,25 @@
 
 
 class Stage(enum.Enum):
-    """The parts of a request's way that are timed everywhere."""
+    """Stages of processing whose latency is measured."""
 
-    #: From the caller's request to its whole answer.
+    #: From the caller's request to the end of the response.
     TOTAL = 'total'
-    #: The upstream itself, seen by an entry.
+    #: The time that the upstream takes, measured by an entry.
     UPSTREAM = 'upstream'
-    #: From a job's taking by its owner to its end.
+    #: From the claim of a job by its owner to the job's end.
     STEP = 'step'
 
 
-class _Key(NamedTuple):
-    """What a series measures; `name` is any enumeration's member."""
+class _SeriesKey(NamedTuple):
+    """Key of a series; `name` is a member of any enumeration."""
 
     service: ServiceId
     name: enum.Enum
 
 
 class LatencySummary(msgspec.Struct, frozen=True):
-    """The latencies of one stage of one service since the start."""
+    """Latencies of one stage of one service since the start."""
 
     service: ServiceId
     stage: str
@@ -62,7 +62,7 @@
 
 
 class CounterValue(msgspec.Struct, frozen=True):
-    """How often something happened since the start."""
+    """Number of times that an event occurred since the start."""
 
     service: ServiceId
     name: str
@@ -70,7 +70,7 @@
 
 
 class MetricsSnapshot(msgspec.Struct, frozen=True):
-    """All series of a process at one moment, ordered by name."""
+    """All series of a process at one moment, sorted by service and name."""
 
     latencies: tuple[LatencySummary, ...]
     counters: tuple[CounterValue, ...]
@@ -80,14 +80,15 @@
     """Collects the measurements of one process.
 
     Series are named by members of enumerations, such as ``Stage`` or
-    ``verdict.Reason``, so each part brings its own names. Past the
-    bounds, further services share the series of ``OVERFLOW``: a flood of
-    names costs detail, not memory.
+    ``verdict.Reason``, so each part of the process defines its own names.
+    Beyond the bounds, further services share series of the service
+    ``(other)``: very many names of services lose detail, but don't use more
+    memory.
     """
 
     def __init__(self) -> None:
-        self._histograms: dict[_Key, HdrHistogram] = {}
-        self._counters: dict[_Key, int] = {}
+        self._histograms: dict[_SeriesKey, HdrHistogram] = {}
+        self._counters: dict[_SeriesKey, int] = {}
 
     def record(
         self,
@@ -96,9 +97,9 @@
         service: ServiceId = NO_SERVICE,
     ) -> None:
         """Add one latency; takes about 4 us."""
-        histogram = self._histograms.get(_Key(service, stage))
+        histogram = self._histograms.get(_SeriesKey(service, stage))
         if histogram is None:
-            histogram = self._new_histogram(_Key(service, stage))
+            histogram = self._add_histogram(_SeriesKey(service, stage))
         latency_us = latency.microseconds + latency.seconds * _US_PER_SECOND
         if latency.days:
             latency_us = _HIGHEST_US if latency.days > 0 else 0
@@ -110,20 +111,20 @@
         service: ServiceId = NO_SERVICE,
         amount: int = 1,
     ) -> None:
-        """Add to a counter."""
-        key = _Key(service, name)
+        """Add `amount` to a counter."""
+        key = _SeriesKey(service, name)
         if key not in self._counters and len(self._counters) >= MAX_COUNTERS:
-            key = _Key(OVERFLOW, name)
+            key = _SeriesKey(OVERFLOW, name)
         self._counters[key] = self._counters.get(key, 0) + amount
 
     def snapshot(self) -> MetricsSnapshot:
-        """Summarise everything; takes about 0.2 ms per histogram."""
+        """Summarise all series; takes about 0.2 ms per histogram."""
         latencies = [
-            _summary(key, histogram)
+            _summarise_latencies(key, histogram)
             for key, histogram in self._histograms.items()
         ]
         counters = [
-            CounterValue(key.service, _text(key.name), count)
+            CounterValue(key.service, _enum_text(key.name), count)
             for key, count in self._counters.items()
         ]
         return MetricsSnapshot(
@@ -131,29 +132,33 @@
             tuple(sorted(counters, key=lambda row: (row.service, row.name))),
         )
 
-    def _new_histogram(self, key: _Key) -> HdrHistogram:
+    def _add_histogram(self, key: _SeriesKey) -> HdrHistogram:
         if len(self._histograms) >= MAX_HISTOGRAMS:
-            key = _Key(OVERFLOW, key.name)
-        found = self._histograms.get(key)
-        if found is None:
-            found = _empty_histogram()
-            self._histograms[key] = found
-        return found
+            key = _SeriesKey(OVERFLOW, key.name)
+        histogram = self._histograms.get(key)
+        if histogram is None:
+            histogram = _empty_histogram()
+            self._histograms[key] = histogram
+        return histogram
 
 
 def _empty_histogram() -> HdrHistogram:
-    # Imported late: a process that records nothing doesn't pay for it.
+    # Imported here: a process that records nothing doesn't load it.
     from hdrh.histogram import HdrHistogram
 
     return HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
 
 
-def _summary(key: _Key, histogram: HdrHistogram) -> LatencySummary:
-    by_rank = histogram.get_percentile_to_value_dict(_PERCENTILES)
-    p50_us, p90_us, p99_us, p999_us = (int(by_rank[rank]) for rank in by_rank)
+def _summarise_latencies(
+    key: _SeriesKey, histogram: HdrHistogram
+) -> LatencySummary:
+    values_us = histogram.get_percentile_to_value_dict(_PERCENTILES)
+    p50_us, p90_us, p99_us, p999_us = (
+        int(values_us[percentile]) for percentile in values_us
+    )
     return LatencySummary(
         key.service,
-        _text(key.name),
+        _enum_text(key.name),
         histogram.get_total_count(),
         p50_us,
         p90_us,
@@ -163,5 +168,5 @@
     )
 
 
-def _text(name: enum.Enum) -> str:
+def _enum_text(name: enum.Enum) -> str:
     return str(name.value)
--- a/bergamotdoor/observe/once.py
+++ b/bergamotdoor/observe/once.py
@@ -1,29 +1,29 @@
-"""Things that are told once, in bounded memory."""
+"""Remembers recent texts, so that each is logged once."""
 
 from __future__ import annotations
 
 from typing import Final
 
-#: Texts that are remembered; each takes some 150 bytes.
-_MOST: Final = 256
+#: The number of texts that are remembered, about 150 bytes each.
+_MAX_TEXTS: Final = 256
 
 
 class Once:
-    """Tells what has not been told before.
+    """Set of the most recently logged texts.
 
-    Failure: something stays wrong and is met again with every beat. Symptom:
-    the log holds little else. Each text is new once; of those that are told
-    again and again the 256 newest are remembered.
+    Failure: an error persists and is found again at each poll. Symptom: the
+    log contains little else. Each text counts as new only once; the 256 that
+    occurred most recently are remembered.
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, None] = {}
+        self._texts: dict[str, None] = {}
 
     def is_new(self, text: str) -> bool:
-        """Return whether a text was not told before, and remember it."""
-        new = text not in self._told
-        self._told.pop(text, None)
-        self._told[text] = None
-        if len(self._told) > _MOST:
-            self._told.pop(next(iter(self._told)))
+        """Return whether `text` is not yet remembered, and remember it."""
+        new = text not in self._texts
+        self._texts.pop(text, None)
+        self._texts[text] = None
+        if len(self._texts) > _MAX_TEXTS:
+            self._texts.pop(next(iter(self._texts)))
         return new
--- a/bergamotdoor/settings/__init__.py
+++ b/bergamotdoor/settings/__init__.py
@@ -1,3 +1,3 @@
-"""Addresses, bounds and what is wrong with settings."""
+"""Types of settings, and the errors found in them."""
 
 from __future__ import annotations
--- a/bergamotdoor/settings/document.py
+++ b/bergamotdoor/settings/document.py
@@ -1,4 +1,4 @@
-"""Parts of settings that several packages share."""
+"""Base types of settings that several packages share."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """Base of every settings object: an unknown field is an error."""
+    """Base class of settings objects, which rejects unknown fields."""
 
 
 class Address(Strict, frozen=True):
-    """An IP number and a TCP port."""
+    """IP address and TCP port."""
 
     ip: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``IP:PORT``.
+        """Parse text of the form ``IP:PORT``.
 
         Raises
         ------
         ValueError
-            If `text` is something else.
+            If `text` has another form.
         """
         ip, separator, port = text.rpartition(':')
         if not (separator and ip and port.isdecimal()):
--- a/bergamotdoor/settings/node.py
+++ b/bergamotdoor/settings/node.py
@@ -1,4 +1,4 @@
-"""What a process on the platform's machines is told."""
+"""Settings of a process on one of the platform's VMs."""
 
 from __future__ import annotations
 
@@ -11,49 +11,51 @@
 
 
 class DutySettings(msgspec.Struct, frozen=True):
-    """What one process at a time does for the platform."""
+    """Settings of the duty that one process at a time has: usage reports."""
 
-    #: Takes the reports.
+    #: The address of the service that receives the reports.
     receiver: Address
-    #: Two processes must not take turns within this.
+    #: Two processes must not alternate in the duty within this time.
     lease: dt.timedelta
-    #: How long a window is for which usage is reported.
+    #: The length of a window for which usage is reported.
     usage_window: dt.timedelta
-    #: How long after a window's end its report is due.
+    #: The time after a window's end within which its report is due.
     usage_due: dt.timedelta
 
 
 class NodeSettings(msgspec.Struct, frozen=True):
-    """What a process is told about itself and its surroundings."""
+    """Settings of one process, its VM and its site."""
 
     node: NodeId
     zone: ZoneId
     ip: str
-    #: The platform's object store.
+    #: The address of the platform's object store.
     store: Address
-    #: The most that one stored object may take.
+    #: The maximum size of a stored object.
     object_bytes: int
-    #: Callers, and the balancer's readiness probe; entries only.
+    #: Where callers connect; ``None`` if the process is not an entry.
     callers: Address | None
+    #: Where the balancer probes readiness; ``None`` if not an entry.
     readiness: Address | None
-    #: Where processes of the system reach each other.
+    #: The port for messages between processes: the first internal one.
     first_port: int
-    #: Where metrics and state are shown.
+    #: Where metrics and state are served.
     inspection: Address
-    #: The engine on this VM; agents only.
+    #: The engine on this VM; ``None`` if the process is not its agent.
     engine: Address | None
-    #: How long after trouble the platform's rules hold again.
+    #: The time after a fault within which the platform's rules must hold again.
     contact: dt.timedelta
-    #: How soon new work must stop going to an upstream that leaves.
+    #: The time within which a draining upstream must get no more new requests.
     drain: dt.timedelta
-    #: From a request to stop until the process is killed.
+    #: The time from a request to stop until the process is killed.
     grace: dt.timedelta
-    #: How long a batch job can be read after it was handed in.
+    #: How long a batch job can be read after it was submitted.
     retention: dt.timedelta
-    #: The bandwidth of this VM's link, in Mbit/s; 0 is not told.
+    #: The bandwidth of this VM's link, in Mbit/s; 0 if unknown.
     link_mbps: float = 0
-    #: How soon a revoked key must stop working on every VM, whether the store
-    #: is reached or not; None is as soon as the manifest is known.
+    #: The time within which a revoked key must stop working on every VM, even
+    #: if the store is unreachable. If ``None``, a key stops working when the
+    #: new manifest is received.
     revocation: dt.timedelta | None = None
-    #: None where usage is not reported.
+    #: ``None`` if usage is not reported.
     duties: DutySettings | None = None
--- a/bergamotdoor/settings/problems.py
+++ b/bergamotdoor/settings/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file or a configuration."""
+"""Errors in settings files and configurations."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_MOST_SHOWN: Final = 80
+_MAX_VALUE_CHARS: Final = 80
 _ELLIPSIS: Final = '...'
 
 
@@ -25,7 +25,7 @@
         The offending value as JSON, cut to 80 characters; secrets are
         never shown.
     expected
-        What would be accepted.
+        A description of the accepted values.
     """
 
     path: str
@@ -43,9 +43,9 @@
 
 
 def describe(problem: Problem) -> str:
-    """Return one line for a person: path, value, what was expected."""
-    where = problem.path or 'document'
-    return f'{where}: {problem.value} found, expected {problem.expected}'
+    """Return one readable line: path, value and what was expected."""
+    path = problem.path or 'document'
+    return f'{path}: {problem.value} found, expected {problem.expected}'
 
 
 def shown(value: object) -> str:
@@ -53,8 +53,8 @@
     try:
         text = msgspec.json.encode(value).decode()
     except (TypeError, ValueError, ArithmeticError):
-        # Lone surrogates and numbers beyond 64 bits have no JSON form.
+        # Lone surrogates and numbers beyond 64 bits can't be encoded as JSON.
         text = ascii(value)
-    if len(text) <= _MOST_SHOWN:
+    if len(text) <= _MAX_VALUE_CHARS:
         return text
-    return text[: _MOST_SHOWN - len(_ELLIPSIS)] + _ELLIPSIS
+    return text[: _MAX_VALUE_CHARS - len(_ELLIPSIS)] + _ELLIPSIS
--- a/bergamotdoor/settings/process.py
+++ b/bergamotdoor/settings/process.py
@@ -1,4 +1,4 @@
-"""Bounds and logging of a process."""
+"""Settings of logging and HTTP limits of a process."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class LogSettings(Strict, frozen=True):
-    """Where and how much is logged."""
+    """Level and destination of the log."""
 
     level: str = 'info'
-    #: Empty logs to standard output.
+    #: The file to append to; if empty, standard output is used.
     file: str = ''
 
 
 class HttpLimits(Strict, frozen=True):
-    """Bounds on what HTTP clients may do."""
+    """Limits on the requests and connections of HTTP clients."""
 
     max_header_bytes: int = 32_768
     header_timeout_ms: int = 10_000
-    #: The longest pause between two pieces of a body.
+    #: The longest wait for the next part of a body.
     body_timeout_ms: int = 30_000
     idle_timeout_ms: int = 75_000
     max_connections: int = 2_000
--- a/bergamotdoor/stored.py
+++ b/bergamotdoor/stored.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store, and what its calls return."""
+"""Objects of the platform's store, and the results of calls to it."""
 
 from __future__ import annotations
 
@@ -16,17 +16,22 @@
 
 
 class UnreadableError(ValueError):
-    """An object is not what its kind holds: another writer's, or broken."""
+    """An object can't be decoded: it is malformed or from another writer."""
 
 
 @contextlib.contextmanager
 def reading(what: str) -> Iterator[None]:
-    """Turn each error of a decoder into UnreadableError.
+    """Convert each error of a decoder to UnreadableError.
 
-    Failure: another writer puts an object under one of our kinds, or a
-    number that no clock can hold. Symptom: the task that follows the kind
-    ends, and the process lives by what it knew. One error is caught where
-    objects are read one by one.
+    Failure: another writer stores an object under a kind of this service,
+    or an object with a number that is out of range for a time. Symptom: the
+    task that watches the kind ends, and the process continues with outdated
+    data. The code that reads objects one by one catches this single error.
+
+    Parameters
+    ----------
+    what
+        The name of the decoded data in the message of the error.
     """
     try:
         yield
@@ -37,7 +42,7 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object as the store returned it.
+    """Object as the store returned it.
 
     ``spec`` and ``status`` are the encoded bodies.
     """
@@ -56,38 +61,38 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """An object that was written, or removed."""
+    """Object that was written or removed."""
 
     stored: StoredObject
     removed: bool
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What happened to a kind since a revision, in order."""
+    """Changes of a kind since a revision, in order."""
 
     changes: tuple[Change, ...]
     revision: Revision
-    #: When nothing else had changed, in time since the machine's start; None
-    #: is not known.
+    #: When these changes were complete, as time since the machine's start;
+    #: ``None`` if unknown.
     proven_at: dt.timedelta | None = None
 
 
 class Outcome(enum.Enum):
-    """Why a call of the store gave no object."""
+    """Reason why a call to the store returned no object."""
 
     #: There is no such object.
     ABSENT = 'absent'
     #: The store no longer has the changes since that revision.
     HISTORY_GONE = 'history-gone'
-    #: Nothing was done: refused, or not sent.
+    #: The call had no effect: it was rejected or not sent.
     NOT_DONE = 'not-done'
-    #: The object is another client account's.
+    #: The object belongs to another client account.
     FOREIGN = 'foreign'
-    #: It may have been done, or may be done seconds later.
+    #: The call may have taken effect, or may take effect seconds later.
     UNCLEAR = 'unclear'
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Nothing was done: the object exists, or has another revision."""
+    """The call had no effect: the object exists, or has another revision."""
 
     current: StoredObject | None
--- a/bergamotdoor/tasks.py
+++ b/bergamotdoor/tasks.py
@@ -1,4 +1,4 @@
-"""Background work of a process."""
+"""Background tasks of a process."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class Tasks:
-    """Tasks that are kept alive, logged when they fail, ended together."""
+    """Set of background tasks that logs failures and stops them together."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        """Run `work` beside the caller."""
+        """Start to run `work` in the background; return its task."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._handle_end)
         return task
 
     async def stop(self) -> None:
-        """Cancel all, and wait for them."""
+        """Cancel all tasks and wait until they have ended."""
         running = tuple(self._tasks)
         for task in running:
             task.cancel()
         await asyncio.gather(*running, return_exceptions=True)
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _handle_end(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
--- a/bergamotdoor/utils.py
+++ b/bergamotdoor/utils.py
@@ -1,4 +1,4 @@
-"""Small helpers that more than one package needs."""
+"""Small helpers that several packages use."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def from_ms(value_ms: float) -> dt.timedelta:
-    """Return `value_ms` milliseconds as a standard time span."""
+    """Return `value_ms` milliseconds as a timedelta."""
     return dt.timedelta(milliseconds=value_ms)
 
 
@@ -29,7 +29,9 @@
 
 
 def hrw_order(key: str, names: Iterable[str]) -> list[str]:
-    """Order `names` for `key`, best first, the same in every process.
+    """Sort `names` by their score for `key`, highest first.
+
+    The order is the same in every process.
 
     Examples
     --------
--- a/bergamotdoor/verdict.py
+++ b/bergamotdoor/verdict.py
@@ -1,8 +1,8 @@
-"""Whether a request may have run, and why it failed.
+"""Whether a failed request may have run, and why it failed.
 
-Errors travel as values: a function that can fail returns its result or a
-:class:`Failure`. The verdict is set where the failure arises and never
-made milder on its way to the caller.
+Errors are returned as values: a function that can fail returns its result or
+a :class:`Failure`. The verdict is set where the failure occurs. It is never
+weakened on the way to the caller, such as from ``MAY_HAVE_RUN`` to ``NOT_RUN``.
 """
 
 from __future__ import annotations
@@ -31,19 +31,19 @@
 
 
 class Failure(msgspec.Struct, frozen=True, array_like=True):
-    """A request's final outcome when there is no answer to give.
+    """Final outcome of a request for which there is no response.
 
     Parameters
     ----------
     verdict
         Whether the request may have run.
     reason
-        The machine-readable cause.
+        The cause of the failure.
     detail
-        One sentence for a person; names the offending value.
+        One sentence for a person, which names the invalid value.
     retry_after_ms
-        When to come back, in milliseconds; ``None`` where retrying the
-        same request cannot help.
+        The delay before a retry, in milliseconds; ``None`` if a retry of
+        the same request can't succeed.
     """
 
     verdict: Verdict
