--- a/bergamotdoor/agent/weights.py
+++ b/bergamotdoor/agent/weights.py
@@ -83,7 +83,7 @@
         self._engine = engine
         self._node = node
         self._clock = clock
-        self._loaded = loaded
+        self._on_loaded = loaded
         self._published: dict[ModelId, WeightVersion] = {}
         self._reader = ObjectReader(_log, 'agent')
         self._token = FencingToken(0)
@@ -180,7 +180,7 @@
                 await self._send_order(model, report)
             await self._clock.sleep(_REPORT_INTERVAL)
             report = await self._read_report()
-        self._loaded(model, report.versions[model])
+        self._on_loaded(model, report.versions[model])
 
     async def _wait_for_turn(
         self, model: ModelId, report: EngineReport
--- a/features/cli_main.feature
+++ b/features/cli_main.feature
@@ -1,6 +1,6 @@
 Feature: command line
 
-  Scenario: the command line lists its commands and their own flags only
+  Scenario: the help shows the commands and only their own flags
     Then the command line ends
       | words                                  | code | says                        |
       | --help                                 | 0    | run beside an engine        |
@@ -18,18 +18,19 @@
       | ctl status --entries=localhost:x       | 2    | expected IP:PORT            |
       | ctl status --entries=127.0.0.1:1       | 1    | 127.0.0.1:1: no answer      |
       | ctl dump --entries=127.0.0.1:1         | 1    | {"127.0.0.1:1": null}       |
-    And no help of the command line shows a flag of the library
+    And no help of the command line shows a flag of absl
 
-  Scenario: the command line checks settings before a process starts
+  Scenario: commands check the settings before a process starts
     Then the command line ends with settings
       | words   | settings                                    | code | says                    |
       | gateway | none                                        | 1    | a readable JSON file    |
       | gateway | {"node": 5}                                 | 1    | node                    |
       | agent   | {"node": "a", "zone": "z", "ip": "1.2.3.4"} | 1    | platform                |
 
-  Scenario: the state of all entries is one page
-    Two entries have manifests 7 and 9, one does not answer, and one rests
-    an engine that refused it. Both know who reports usage.
+  Scenario: ctl status shows the state of all entries
+    Two entries have manifests 7 and 9, and one does not respond. One entry
+    sends no requests to an engine that refused one, until a backoff ends.
+    Both know which entry reports usage.
 
     Then the status of the entries is
       """
@@ -49,38 +50,39 @@
     Then the daemon of the command line was started and stopped, with code 0
 
   Scenario: a second signal ends a daemon of the command line at once
-    # The graceful stop waits for a long request. The operator, who sees
-    # it, asks again and does not want to wait.
+    # The graceful stop waits for a long request. The operator sends a
+    # second signal to end the process without waiting.
     When a daemon of the command line gets SIGTERM after 5 and SIGINT after 6 seconds
     Then the daemon of the command line was ended at 6 seconds with code 130
 
-  Scenario: a daemon of the command line is asked to stop while it starts
+  Scenario: a daemon of the command line can be stopped while it starts
     # The platform is down and the start waits for it. The stop must not
-    # wait for the platform too.
+    # wait for the platform as well.
     When a daemon of the command line whose start hangs gets SIGTERM after 5 seconds
     Then the daemon of the command line was stopped but not started, with code 0
 
-  Scenario: a daemon of the command line that can't start says so and ends
-    When a daemon of the command line finds its port taken
+  Scenario: a daemon of the command line whose start fails exits with code 1
+    When the port of a daemon of the command line is already in use
     Then the daemon of the command line was stopped but not started, with code 1
 
-  Scenario: a daemon of the command line whose stop hangs is cut
+  Scenario: a daemon of the command line whose stop hangs is ended at its timeout
     When a daemon of the command line whose stop hangs gets SIGTERM after 5 seconds
     Then the daemon of the command line ended after 15 seconds with code 1
 
   Scenario: callers can connect before the modules of a gateway are loaded
-    A VM starts again and callers come at once. The process listens first;
-    its modules, a tenth of a second of work, are loaded behind that.
+    A VM restarts, and callers connect at once. The process opens its socket
+    first, and then loads its modules, which takes a tenth of a second.
 
     Then a gateway listens for callers before asyncio and its own modules load
 
-  Scenario: signals that come while a process loads its modules
-    The platform starts a process and tells it at once that its settings have
-    changed, or to stop. It must not end as by a crash.
+  Scenario: signals that arrive while a process loads its modules
+    The platform starts a process, and at once sends it a signal that its
+    settings have changed, or that it must stop. The process must not end as
+    in a crash.
 
     Then a process that gets SIGHUP before its modules are loaded goes on
-    And a process that gets SIGTERM before its modules are loaded ends in order
+    And a process that gets SIGTERM before its modules are loaded exits with code 0
 
-  Scenario: settings that change while a process starts are not missed
+  Scenario: settings that change while a process starts are applied
     When the settings file changes between its reading and the start
-    Then a changed file is noticed though it changed during the start
+    Then the settings of the changed file are applied
--- a/features/observe_metrics.feature
+++ b/features/observe_metrics.feature
@@ -6,15 +6,16 @@
     When the metrics are summarised
     Then the metrics give percentiles within one percent, and the count
 
-  Scenario: a flood of service names costs detail, not memory
-    A caller asks for ever new services. Were each to get a histogram of its
-    own, the process would grow by 20 KB a name until the VM kills it and
-    every request in progress is lost. Past the bound they share one series.
-    Given metrics that saw 5000 different services
+  Scenario: many service names lose detail, but use no more memory
+    A caller sends requests with ever new service names. If each got its own
+    histogram, the process would grow by 20 KB per name until it is killed on
+    the VM, and all requests in progress would be lost. Beyond the bound, all
+    further services share one series.
+    Given metrics of 5000 different services
     When the metrics are summarised
     Then the metrics hold a bounded number of series and lost no measurement
 
-  Scenario: a latency outside the range is kept at the range's end
+  Scenario: a latency outside the range counts as the nearest one in it
     Given metrics with a latency of three days and one below zero
     When the metrics are summarised
     Then the metrics show an hour as the longest and nothing below zero
--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -1,24 +1,24 @@
-Feature: the adapter to the platform's machines
+Feature: the adapter to the platform
 
-  Scenario: nothing outside the adapter knows the wire's names
-    Then no module outside bergamotdoor/platform holds a name of the wire
+  Scenario: only the adapter uses names of the platform's protocol
+    Then no module outside bergamotdoor/platform contains a name of the protocol
     And the adapter is small, as a whole and in each file
 
-  Scenario: the manifest is decoded into typed routes
+  Scenario: the manifest is decoded to typed routes
     Given the operator's manifest of two routes and a split
     Then its routes have kinds, shares, bounds and limits with their units
     And its split is drawn by weight
 
-  Scenario: an older manifest that comes late changes nothing
-    A listing is delayed and arrives behind a newer one. Callers have seen
-    the newer routes already.
+  Scenario: an older manifest that arrives late is ignored
+    A listing is delayed and arrives after a newer one. Requests of callers
+    have already used the newer routes.
 
     Given a process with manifest 7
-    When it is shown manifest 5, then 9
+    When it receives manifest 5, then 9
     Then it has manifest 7, then 9
 
-  Scenario Outline: what is no manifest or settings is refused with the field
-    Then the <what> <text> is refused, naming <field>
+  Scenario Outline: an invalid manifest or settings file is rejected with the field
+    Then the <what> <text> is rejected with the field <field>
 
     Examples:
       | what     | text                                        | field    |
@@ -27,13 +27,13 @@
       | settings | {"node": 5}                                 | node     |
       | settings | [                                           | document |
 
-  Scenario: settings that change while a process runs are taken over
-    The file changes without a signal, later with one. A broken file in
-    between changes nothing.
+  Scenario: settings that change while a process runs are applied
+    The file may change with or without a signal to the process. A malformed
+    file in between is ignored.
 
     Given a running process and its settings file
-    When the file names another store, is broken, and names a third one
+    When the file names another store, is malformed, and names a third store
     Then the process uses the second store, keeps it, and uses the third
 
-  Scenario: whatever bytes come, parsers fail with an error of their own
-    Then no random body makes a parser of the adapter fail otherwise
+  Scenario: parsers raise only their documented errors, whatever the bytes
+    Then no random body makes a parser raise another error
--- a/features/steps/agent_weights_steps.py
+++ b/features/steps/agent_weights_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the agents, in virtual time."""
+"""Steps for the agent processes, in virtual time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     from lab.upstreams import Engine
 
 
-async def until_version(site: Site, engine: Engine, version: int) -> float:
+async def wait_for_version(site: Site, engine: Engine, version: int) -> float:
+    """Wait until an engine has a version; return the time in seconds."""
     began = site.clock.elapsed()
     while engine.version < version:
         await asyncio.sleep(0.05)
@@ -35,8 +36,8 @@
     context.prepare = with_agent
 
 
-@given('an engine whose agent loses its way to the store')
-def cut_agent(context: Any) -> None:
+@given('an engine whose agent can no longer reach the store')
+def engine_and_disconnected_agent(context: Any) -> None:
     async def prepare(site: Site) -> Engine:
         engine = await with_agent(site)
         agent = site.agents['side-0']
@@ -48,23 +49,23 @@
 
 
 @when('version 2 is published')
-def published(context: Any) -> None:
+def publish_new_version(context: Any) -> None:
     async def scene(site: Site) -> None:
         engine = await context.prepare(site)
         publish(site, 2)
-        context.took_s = await until_version(site, engine, 2)
+        context.took_s = await wait_for_version(site, engine, 2)
         context.engine = engine
 
     play(scene)
 
 
-@when('version 2 is published and the first order comes late')
-def late_order(context: Any) -> None:
+@when('version 2 is published and the first order is delayed')
+def delay_first_order(context: Any) -> None:
     async def scene(site: Site) -> None:
         engine = await context.prepare(site)
         engine.late_orders = 1
         publish(site, 2)
-        context.took_s = await until_version(site, engine, 2)
+        context.took_s = await wait_for_version(site, engine, 2)
         context.engine = engine
         context.orders = len(engine.orders)
         await asyncio.sleep(6)
@@ -74,45 +75,46 @@
 
 
 @when('version 2 is published, the agent restarts and version 3 is published')
-def restarts(context: Any) -> None:
+def publish_around_restart(context: Any) -> None:
     async def scene(site: Site) -> None:
         engine = await context.prepare(site)
         publish(site, 2)
-        await until_version(site, engine, 2)
+        await wait_for_version(site, engine, 2)
         await site.agents['side-0'].stop()
         await site.add_agent('side-0', engine)
         publish(site, 3)
-        await until_version(site, engine, 3)
+        await wait_for_version(site, engine, 3)
         context.engine = engine
 
     play(scene)
 
 
 @given('an engine whose agent starts after versions 2 to 5 were published')
-def starts_late(context: Any) -> None:
+def publish_before_start(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(engines=1, services=0, entries=1)
         for version in range(2, 6):
             publish(site, version)
         engine = site.engines['engine-0']
         await site.add_agent('side-0', engine)
-        context.took_s = await until_version(site, engine, 5)
+        context.took_s = await wait_for_version(site, engine, 5)
         context.engine = engine
 
     play(scene)
 
 
 @then(
-    'the engine has version {version:d} within {most:d} s after {count:d} order'
+    'the engine has version {version:d} within {max_s:d} s '
+    'after {count:d} order'
 )
-def has_version(context: Any, version: int, most: int, count: int) -> None:
-    assert context.took_s <= most, context.took_s
+def check_version(context: Any, version: int, max_s: int, count: int) -> None:
+    assert context.took_s <= max_s, context.took_s
     assert context.engine.version == version
     assert len(context.engine.orders) == count, context.engine.orders
 
 
-@then('the order names its holder, a fencing token and the count of orders')
-def order_names(context: Any) -> None:
+@then('the order contains its holder, a fencing token and the count of orders')
+def check_order(context: Any) -> None:
     order = context.engine.orders[0]
     assert order['holder'] == 'side-0', order
     assert order['fence'] > 0, order
@@ -120,35 +122,36 @@
     assert order['mode'] == 'retain', order
 
 
-@then('the engine takes no order for 1 s')
-def no_order_yet(context: Any) -> None:
-    # The rest is the load itself, 0.9 s, and how often the agent looks.
-    least_s = 1.85
-    assert context.took_s > least_s, context.took_s
+@then('the engine gets no order for 1 s')
+def check_order_delay(context: Any) -> None:
+    # Beside the delay, this is the load itself, 0.9 s, and the interval at
+    # which the agent reads the report of the engine.
+    min_s = 1.85
+    assert context.took_s > min_s, context.took_s
 
 
 @then('no older order takes effect later')
-def nothing_later(context: Any) -> None:
+def check_no_later_order(context: Any) -> None:
     assert context.orders == context.orders_later == 1
 
 
-@then('the tokens of the orders grow')
-def tokens_grow(context: Any) -> None:
+@then('the tokens of the orders increase')
+def check_tokens(context: Any) -> None:
     tokens = [order['fence'] for order in context.engine.orders]
     assert len(tokens) == 2, tokens
     assert tokens[0] < tokens[1], tokens
 
 
-@given('5 engines of a service in a list')
-def five(context: Any) -> None:
+@given('5 registered engines of a service')
+def five_engines(context: Any) -> None:
     context.listed = upstreams(5, versions={ModelId('m'): WeightVersion(1)})
 
 
 @then(
-    'their turns to load begin 1000, 1000, 1950, 1950 and 2900 ms '
-    'after the news'
+    'their loads begin 1000, 1000, 1950, 1950 and 2900 ms '
+    'after a version is published'
 )
-def turns(context: Any) -> None:
+def check_turns(context: Any) -> None:
     delays = [
         Roster(context.listed, one.address).turn_delay(ModelId('m'))
         // dt.timedelta(milliseconds=1)
@@ -157,8 +160,8 @@
     assert delays == [1000, 1000, 1950, 1950, 2900], delays
 
 
-@given('a storage machine that is to be emptied')
-def to_be_emptied(context: Any) -> None:
+@given('a storage VM that is to be evacuated')
+def evacuate_storage_vm(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(engines=0, services=0, entries=0)
         settings = msgspec.structs.replace(
@@ -178,54 +181,54 @@
 
 
 @then('its evacuation is completed within 1 s')
-def completed(context: Any) -> None:
+def check_completed(context: Any) -> None:
     assert context.status == {'state': 'completed'}, context.status
 
 
 @given('{engines:d} engines that {models:d} models share')
-def shared(context: Any, engines: int, models: int) -> None:
+def shared_engines(context: Any, engines: int, models: int) -> None:
     names = [ModelId(f'm{number}') for number in range(models)]
     versions = {name: WeightVersion(1) for name in names}
     context.listed = upstreams(engines, versions=versions)
     context.models = names
 
 
-@then('each model has {least:d} to {most:d} engines of its own')
-def own_engines(context: Any, least: int, most: int) -> None:
+@then('each model has {min_count:d} to {max_count:d} engines of its own')
+def check_own_engines(context: Any, min_count: int, max_count: int) -> None:
     rosters = [Roster(context.listed, one.address) for one in context.listed]
-    taken = [model for roster in rosters for model in roster.models()]
-    counts = [taken.count(model) for model in context.models]
-    assert least <= min(counts), counts
-    assert max(counts) <= most, counts
+    assigned = [model for roster in rosters for model in roster.models()]
+    counts = [assigned.count(model) for model in context.models]
+    assert min_count <= min(counts), counts
+    assert max(counts) <= max_count, counts
 
 
-@then('the loss of one engine changes the models of {most:d} others at most')
-def few_changes(context: Any, most: int) -> None:
+@then('the loss of one engine changes the models of {count:d} others at most')
+def check_few_changes(context: Any, count: int) -> None:
     before = {
         one.upstream: Roster(context.listed, one.address).models()
         for one in context.listed
     }
     for lost in context.listed:
-        left = [one for one in context.listed if one is not lost]
+        remaining = [one for one in context.listed if one is not lost]
         changed = [
             one
-            for one in left
-            if Roster(left, one.address).models() != before[one.upstream]
+            for one in remaining
+            if Roster(remaining, one.address).models() != before[one.upstream]
         ]
-        assert len(changed) <= most, changed
+        assert len(changed) <= count, changed
 
 
-@then('the last of them begins to load within {most:d} s')
-def last_begins(context: Any, most: int) -> None:
+@then('the last of them begins to load within {max_s:d} s')
+def check_last_turn(context: Any, max_s: int) -> None:
     delays = [
         Roster(context.listed, one.address).turn_delay(context.models[0])
         for one in context.listed
     ]
-    assert dt.timedelta() < max(delays) < dt.timedelta(seconds=most), delays
+    assert dt.timedelta() < max(delays) < dt.timedelta(seconds=max_s), delays
 
 
-@given('a storage machine, a job that ended and one that is open')
-def two_jobs(context: Any) -> None:
+@given('a storage VM, a job that ended and one that is open')
+def ended_and_open_job(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=1)
         settings = msgspec.structs.replace(
@@ -253,14 +256,14 @@
 
 
 @then('both are in the store 150 s later')
-def both_there(context: Any) -> None:
+def check_both_stored(context: Any) -> None:
     found = context.kinds[0]
     assert found['jobs'] == 2, found
     assert found['job-j1'] > 1, found
 
 
-@then('260 s later only the open one is, with all its parts')
-def only_open(context: Any) -> None:
+@then('260 s later only the open one is in the store, with all its parts')
+def check_only_open_stored(context: Any) -> None:
     found = context.kinds[1]
     assert found['jobs'] == 1, found
     assert found['job-j1'] == 0, found
@@ -268,20 +271,20 @@
 
 
 @when('version 2 is published, and version 3 {apart_ms:d} ms later')
-def two_versions(context: Any, apart_ms: int) -> None:
+def publish_two_versions(context: Any, apart_ms: int) -> None:
     async def scene(site: Site) -> None:
         engine = await context.prepare(site)
         publish(site, 2)
         await asyncio.sleep(apart_ms / 1000)
         publish(site, 3)
-        context.took_s = await until_version(site, engine, 3)
+        context.took_s = await wait_for_version(site, engine, 3)
         context.engine = engine
 
     play(scene)
 
 
-@then('the engine has version 3 at most {most_s:f} s after that')
-def soon(context: Any, most_s: float) -> None:
+@then('the engine has version 3 at most {max_s:f} s after that')
+def check_newest_version(context: Any, max_s: float) -> None:
     # The load itself takes 0.9 s.
-    assert context.took_s <= most_s, context.took_s
+    assert context.took_s <= max_s, context.took_s
     assert len(context.engine.orders) == 1, context.engine.orders
--- a/features/steps/cli_anatomy_steps.py
+++ b/features/steps/cli_anatomy_steps.py
@@ -25,12 +25,12 @@
 from lab.site import Site, play
 from lab.wire import JobItem, job_body
 
-SLACK = dt.timedelta(seconds=0.1)
+TOLERANCE = dt.timedelta(seconds=0.1)
 EPOCH = dt.datetime(2026, 1, 1, tzinfo=dt.UTC)
 
 
-class Lines(logging.Handler):
-    """Writes what is logged as processes do, by the time of the loop."""
+class JsonLineHandler(logging.Handler):
+    """Formats records as log lines of an entry, with the event loop's time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -60,8 +60,19 @@
     await asyncio.sleep(0.2)
 
 
-def log_of(lengths: list[int], slow_at_s: float | None = None) -> list[str]:
-    """Return what is logged while a step runs; its first engine may slow."""
+def log_lines_of_step(
+    lengths: list[int], slow_at_s: float | None = None
+) -> list[str]:
+    """Return the log lines of a step.
+
+    Parameters
+    ----------
+    lengths
+        The number of events of each item.
+    slow_at_s
+        The time after which the first engine becomes slow, in seconds;
+        ``None`` if it does not.
+    """
 
     async def turn_slow(site: Site, at_s: float) -> None:
         await asyncio.sleep(at_s)
@@ -69,7 +80,7 @@
 
     async def scene(site: Site) -> list[str]:
         await site.start(engines=2)
-        handler = Lines()
+        handler = JsonLineHandler()
         logger = logging.getLogger('bergamotdoor')
         logger.addHandler(handler)
         logger.setLevel(logging.INFO)
@@ -88,23 +99,23 @@
 
 @given('the log of a step whose longest item has 60 events, read to its end')
 def plain_step(context: Any) -> None:
-    context.lines = log_of([60, 20, 20])
+    context.lines = log_lines_of_step([60, 20, 20])
 
 
 @given('the log of a step whose longest item moved to another engine')
 def moved_step(context: Any) -> None:
-    context.lines = log_of([60, 60, 20], slow_at_s=1)
+    context.lines = log_lines_of_step([60, 60, 20], slow_at_s=1)
 
 
-@given("lines that are no JSON, cut off, or another program's")
-def noise(context: Any) -> None:
-    cut = [line[: len(line) // 2] for line in context.lines]
+@given('lines that are no JSON, truncated, or from another program')
+def unrelated_lines(context: Any) -> None:
+    truncated = [line[: len(line) // 2] for line in context.lines]
     others = ['', 'gateway: {', '{"message": 3}', '{"a": "gateway: job j"}']
-    context.lines = [*cut, *others, *context.lines]
+    context.lines = [*truncated, *others, *context.lines]
 
 
-@when('its anatomy is asked for')
-def asked(context: Any) -> None:
+@when('its anatomy is computed')
+def compute_anatomy(context: Any) -> None:
     events = list(read_events(context.lines))
     context.pace_s = usual_pace_s(events)
     steps = list(gather_steps(events))
@@ -112,8 +123,8 @@
     context.step = steps[0]
 
 
-@then('its times stand in order, from the first item to its end')
-def in_order(context: Any) -> None:
+@then('its times are in order, from the first item to its end')
+def check_order(context: Any) -> None:
     step = context.step
     times = [
         step.first_item,
@@ -127,45 +138,45 @@
 
 
 @then('its floor is 2.4 s, and its last text at most 0.3 s later')
-def floor(context: Any) -> None:
-    found = context.step.floor(context.pace_s)
-    assert abs(found - dt.timedelta(seconds=2.4)) <= SLACK, found
-    late = context.step.last_text - found
-    assert late <= 3 * SLACK, late
+def check_floor(context: Any) -> None:
+    floor = context.step.floor(context.pace_s)
+    assert abs(floor - dt.timedelta(seconds=2.4)) <= TOLERANCE, floor
+    excess = context.step.last_text - floor
+    assert excess <= 3 * TOLERANCE, excess
 
 
 @then('the timeline of its slowest item is one run of 60 events')
-def one_run(context: Any) -> None:
-    drawn = list(timeline(context.step))
-    assert len(drawn) == 1, drawn
-    assert 'completed, 60 events' in drawn[0], drawn
+def check_single_run(context: Any) -> None:
+    rows = list(timeline(context.step))
+    assert len(rows) == 1, rows
+    assert 'completed, 60 events' in rows[0], rows
 
 
-@then('the timeline of its slowest item shows why it left')
-def why_left(context: Any) -> None:
-    drawn = list(timeline(context.step))
-    assert len(drawn) == 2, drawn
-    assert 'left, slow' in drawn[0], drawn
-    assert 'completed, 60 events' in drawn[1], drawn
+@then('the timeline of its slowest item shows why it was moved')
+def check_moved(context: Any) -> None:
+    rows = list(timeline(context.step))
+    assert len(rows) == 2, rows
+    assert 'left, slow' in rows[0], rows
+    assert 'completed, 60 events' in rows[1], rows
 
 
 @given('a log without a step')
-def no_step(context: Any) -> None:
+def log_without_step(context: Any) -> None:
     context.lines = ['nothing']
 
 
 @when('the command is run on it')
-def command(context: Any) -> None:
+def run_command(context: Any) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / 'log'
         path.write_text('\n'.join(context.lines))
-        said = io.StringIO()
-        with contextlib.redirect_stderr(said):
+        stderr = io.StringIO()
+        with contextlib.redirect_stderr(stderr):
             context.code = main(['anatomy', str(path)])
-    context.said = said.getvalue()
+    context.stderr = stderr.getvalue()
 
 
-@then('it says so and exits with 1')
-def says_so(context: Any) -> None:
+@then('it reports that there is no step and exits with 1')
+def check_no_step(context: Any) -> None:
     assert context.code == 1, context.code
-    assert 'no step' in context.said, context.said
+    assert 'no step' in context.stderr, context.stderr
--- a/features/steps/cli_main_steps.py
+++ b/features/steps/cli_main_steps.py
@@ -31,30 +31,30 @@
 COMMANDS = ('gateway', 'agent', 'ctl')
 
 
-def run_words(words: list[str]) -> tuple[int, str]:
-    """The exit code, and standard output and error together."""
+def run_command_line(arguments: list[str]) -> tuple[int, str]:
+    """Return the exit code, and standard output and error in one text."""
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
         with contextlib.redirect_stderr(output):
-            code = main(words)
+            code = main(arguments)
     return int(code), output.getvalue()
 
 
 @then('the command line ends')
 def check_ends(context: Any) -> None:
     for row in context.table:
-        code, told = run_words(row['words'].split())
-        assert code == int(row['code']), (row, told)
-        assert row['says'] in told, (row, told)
+        code, output = run_command_line(row['words'].split())
+        assert code == int(row['code']), (row, output)
+        assert row['says'] in output, (row, output)
 
 
-@then('no help of the command line shows a flag of the library')
+@then('no help of the command line shows a flag of absl')
 def check_help(context: Any) -> None:
     for name in COMMANDS:
-        told = run_words([name, '--help'])[1]
-        assert 'flagfile' not in told
-        assert 'undefok' not in told
-        assert max(map(len, told.splitlines())) < 80, told
+        output = run_command_line([name, '--help'])[1]
+        assert 'flagfile' not in output
+        assert 'undefok' not in output
+        assert max(map(len, output.splitlines())) < 80, output
 
 
 @then('the command line ends with settings')
@@ -65,9 +65,9 @@
             file.flush()
             missing = row['settings'] == 'none'
             os.environ[SETTINGS_VARIABLE] = 'none' if missing else file.name
-            code, told = run_words([row['words']])
-        assert code == int(row['code']), (row, told)
-        assert row['says'] in told, (row, told)
+            code, output = run_command_line([row['words']])
+        assert code == int(row['code']), (row, output)
+        assert row['says'] in output, (row, output)
 
 
 def state(generation: int, resting: bool, jobs: list[Any]) -> bytes:
@@ -125,7 +125,15 @@
 
 
 class FakeDaemon:
-    """Starts and stops as a test wants."""
+    """Daemon whose start and stop take given times.
+
+    Parameters
+    ----------
+    start_seconds
+        The duration of the start.
+    stop_seconds
+        The duration of the stop.
+    """
 
     def __init__(self, start_seconds: float, stop_seconds: float) -> None:
         self.started = False
@@ -146,13 +154,13 @@
 
 
 def run_daemon(
-    context: Any, daemon: FakeDaemon, sent: dict[int, signal.Signals]
+    context: Any, daemon: FakeDaemon, signals_by_s: dict[int, signal.Signals]
 ) -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[int] = loop.create_future()
         signals = StopSignals(ended.set_result)
-        for seconds, number in sent.items():
+        for seconds, number in signals_by_s.items():
             loop.call_later(seconds, signals.receive, number)
         serving = asyncio.create_task(serve(daemon, signals, STOP_TIMEOUT))
         await asyncio.wait(
@@ -163,15 +171,15 @@
         context.seconds = loop.time()
         serving.cancel()
         await asyncio.wait((serving,))
-        left = asyncio.all_tasks() - {asyncio.current_task()}
-        assert not left, left
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}
+        assert not remaining, remaining
 
     context.daemon = daemon
     run_virtual(run())
 
 
 @when('a daemon of the command line gets SIGTERM after 5 seconds')
-def one_signal(context: Any) -> None:
+def send_one_signal(context: Any) -> None:
     run_daemon(context, FakeDaemon(1, 3), {5: signal.SIGTERM})
 
 
@@ -179,28 +187,28 @@
     'a daemon of the command line gets SIGTERM after 5 '
     'and SIGINT after 6 seconds'
 )
-def two_signals(context: Any) -> None:
-    sent = {5: signal.SIGTERM, 6: signal.SIGINT}
-    run_daemon(context, FakeDaemon(1, 9), sent)
+def send_two_signals(context: Any) -> None:
+    signals_by_s = {5: signal.SIGTERM, 6: signal.SIGINT}
+    run_daemon(context, FakeDaemon(1, 9), signals_by_s)
 
 
 @when(
     'a daemon of the command line whose start hangs '
     'gets SIGTERM after 5 seconds'
 )
-def hanging_start(context: Any) -> None:
+def send_signal_in_start(context: Any) -> None:
     run_daemon(context, FakeDaemon(9999, 1), {5: signal.SIGTERM})
 
 
 @when(
     'a daemon of the command line whose stop hangs gets SIGTERM after 5 seconds'
 )
-def hanging_stop(context: Any) -> None:
+def send_signal_before_stop(context: Any) -> None:
     run_daemon(context, FakeDaemon(1, 9999), {5: signal.SIGTERM})
 
 
-@when('a daemon of the command line finds its port taken')
-def port_taken(context: Any) -> None:
+@when('the port of a daemon of the command line is already in use')
+def port_in_use(context: Any) -> None:
     daemon = FakeDaemon(1, 1)
     daemon.start_error = OSError('address already in use')
     run_daemon(context, daemon, {})
@@ -231,13 +239,14 @@
 
 
 @then('the daemon of the command line ended after 15 seconds with code 1')
-def check_cut(context: Any) -> None:
+def check_stop_timeout(context: Any) -> None:
     assert not context.daemon.stopped
     assert (context.code, context.seconds) == (1, 15)
 
 
-#: Runs a gateway up to the loading of its modules, and connects.
-_EARLY = """
+#: Connects to a gateway before its modules are loaded, and prints the names
+#: of those that are.
+_CONNECT_EARLY = """
 import socket, sys
 from bergamotdoor.cli import main, node
 
@@ -253,8 +262,8 @@
 """
 
 
-#: Runs a gateway that gets a signal as soon as its first module is loaded.
-_SIGNALLED = """
+#: Sends a gateway a signal as soon as its first module is loaded.
+_SIGNAL_EARLY = """
 import os, runpy, signal, sys
 from bergamotdoor.cli import early
 
@@ -272,9 +281,9 @@
 
 
 @then('a process that gets {name} before its modules are loaded {outcome}')
-def signalled_early(_: Any, name: str, outcome: str) -> None:
+def check_early_signal(_: Any, name: str, outcome: str) -> None:
     done = subprocess.run(
-        (sys.executable, '-c', _SIGNALLED, name),
+        (sys.executable, '-c', _SIGNAL_EARLY, name),
         capture_output=True,
         text=True,
         check=False,
@@ -284,24 +293,24 @@
     assert goes_on == (outcome == 'goes on'), done.stdout
 
 
-@then('a changed file is noticed though it changed during the start')
-def changed_at_start(context: Any) -> None:
-    assert context.used == [1], context.used
+@then('the settings of the changed file are applied')
+def check_applied(context: Any) -> None:
+    assert context.store_ports == [1], context.store_ports
 
 
-class NotingDaemon(FakeDaemon):
-    """Notes which stores it is told to use, by their ports."""
+class RecordingDaemon(FakeDaemon):
+    """Daemon that records the port of the store in each settings applied."""
 
     def __init__(self, start_seconds: float, stop_seconds: float) -> None:
         super().__init__(start_seconds, stop_seconds)
-        self.used: list[int] = []
+        self.store_ports: list[int] = []
 
     def use_settings(self, settings: NodeSettings) -> None:
-        self.used.append(settings.store.port)
+        self.store_ports.append(settings.store.port)
 
 
 @when('the settings file changes between its reading and the start')
-def changes_early(context: Any) -> None:
+def change_settings_early(context: Any) -> None:
     settings = {
         'node': 'agent',
         'zone': 'z',
@@ -311,13 +320,13 @@
     with tempfile.NamedTemporaryFile('w') as file:
         json.dump(settings, file)
         file.flush()
-        noting = NotingDaemon(0, 0)
-        ReloadingDaemon(noting, file.name, b'older').reload()
-        context.used = noting.used
+        daemon = RecordingDaemon(0, 0)
+        ReloadingDaemon(daemon, file.name, b'older').reload()
+        context.store_ports = daemon.store_ports
 
 
 @then('a gateway listens for callers before asyncio and its own modules load')
-def listens_early(_: Any) -> None:
+def check_listens_early(_: Any) -> None:
     settings = {
         'node': 'entry',
         'zone': 'z',
@@ -329,7 +338,7 @@
         json.dump(settings, file)
         file.flush()
         done = subprocess.run(
-            (sys.executable, '-c', _EARLY),
+            (sys.executable, '-c', _CONNECT_EARLY),
             env={**os.environ, SETTINGS_VARIABLE: file.name},
             capture_output=True,
             text=True,
--- a/features/steps/observe_dump_steps.py
+++ b/features/steps/observe_dump_steps.py
@@ -20,14 +20,14 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """A part of a state with a token."""
+    """Part of a state that contains a token."""
 
     object_api: Address
     token: str = ''
 
 
 class LinkSecurity(msgspec.Struct, frozen=True):
-    """A part of a state with a key."""
+    """Part of a state that contains a key."""
 
     shared_key: str = ''
 
@@ -38,7 +38,7 @@
 
 
 class State(msgspec.Struct):
-    """A part's state with secrets at several depths."""
+    """State of a part that contains secrets at several depths."""
 
     platform: PlatformSettings = PLATFORM
     security: tuple[LinkSecurity, ...] = (
@@ -51,13 +51,13 @@
 
 
 class Text(msgspec.Struct):
-    """A state of any size."""
+    """State of any size."""
 
     text: str
 
 
 class Part:
-    """A part of a process; dumps what it was given."""
+    """Part of a process that returns a given state, or raises without one."""
 
     def __init__(self, state: msgspec.Struct | None) -> None:
         self.state = state
@@ -68,8 +68,8 @@
         return self.state
 
 
-@given('a dump of a sound part, one that raises and one that is too large')
-def three_parts(context: Any) -> None:
+@given('a dump of a valid part, one that raises and one that is too large')
+def register_three_parts(context: Any) -> None:
     context.registry = DumpRegistry()
     context.registry.register('raises', Part(None))
     context.registry.register('large', Part(Text('x' * MAX_PART_BYTES)))
@@ -77,7 +77,7 @@
 
 
 @given('a dump of settings with keys and tokens at several depths')
-def secrets(context: Any) -> None:
+def register_secrets(context: Any) -> None:
     context.registry = DumpRegistry()
     context.registry.register('settings', Part(State()))
 
@@ -100,8 +100,8 @@
         context.dump_error = str(error)
 
 
-@then('the dump shows the sound part and the two errors by type')
-def errors_in_place(context: Any) -> None:
+@then('the dump shows the valid part and the types of the two errors')
+def check_errors(context: Any) -> None:
     assert json.loads(context.collected) == {
         'raises': {'error': 'KeyError'},
         'large': {'error': 'DumpTooLargeError'},
@@ -110,7 +110,7 @@
 
 
 @then('the dump holds no secret but shows fencing tokens and unset keys')
-def no_secret(context: Any) -> None:
+def check_no_secret(context: Any) -> None:
     assert SECRET not in context.collected
     settings = json.loads(context.collected)['settings']
     assert settings['platform']['token'] == REDACTED
@@ -119,6 +119,6 @@
     assert settings['fencing_token'] == 7
 
 
-@then('the dump error names the part')
-def names_part(context: Any) -> None:
+@then('the error contains the name of the part')
+def check_part_name(context: Any) -> None:
     assert 'settings' in context.dump_error
--- a/features/steps/observe_logs_steps.py
+++ b/features/steps/observe_logs_steps.py
@@ -15,12 +15,12 @@
 from bergamotdoor.observe import logs
 from bergamotdoor.settings.process import LogSettings
 
-PART = logging.getLogger('bergamotdoor.part')
-TEXT = 'part: something happened'
+LOGGER = logging.getLogger('bergamotdoor.part')
+MESSAGE = 'part: something happened'
 
 
 class StalledHandler(logging.Handler):
-    """Blocks until it is released, as a stalled disk does."""
+    """Handler that blocks until it is released, as with a stalled disk."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,7 +33,7 @@
 
 
 @given('the logs of "{process}" go to a file at level "{level}"')
-def to_file(context: Any, process: str, level: str) -> None:
+def log_to_file(context: Any, process: str, level: str) -> None:
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.log_file = pathlib.Path(folder.name, 'log')
@@ -43,13 +43,13 @@
 
 @when('a record at level "info" and one at level "debug" are logged')
 def log_two(context: Any) -> None:
-    PART.info(TEXT, extra={'attempt': 3})
-    PART.debug('not written')
+    LOGGER.info(MESSAGE, extra={'attempt': 3})
+    LOGGER.debug('not written')
     context.log_output.stop()
 
 
 @then('the log file holds one JSON line with the text and "{process}"')
-def one_line(context: Any, process: str) -> None:
+def check_line(context: Any, process: str) -> None:
     lines = context.log_file.read_text().splitlines()
     assert len(lines) == 1, lines
     written = json.loads(lines[0])
@@ -57,15 +57,15 @@
     assert logged_at.utcoffset() == dt.timedelta()
     assert written == {
         'level': 'INFO',
-        'logger': PART.name,
-        'message': TEXT,
+        'logger': LOGGER.name,
+        'message': MESSAGE,
         'process': process,
         'attempt': 3,
     }
 
 
 @given('a log destination that stalls, with a queue of {size:d}')
-def stalled(context: Any, size: int) -> None:
+def stall_destination(context: Any, size: int) -> None:
     context.stalled = StalledHandler()
     context.queue_size = size
     context.log_output = logs.LogOutput(context.stalled, queue_size=size)
@@ -76,13 +76,13 @@
 def log_many(context: Any, count: int) -> None:
     context.logged = count
     for number in range(count):
-        PART.info('part: record %d', number)
+        LOGGER.info('part: record %d', number)
 
 
 @then('logging returned each time and the dropped records were counted')
-def counted(context: Any) -> None:
+def check_dropped(context: Any) -> None:
     output = context.log_output
-    # The writer holds one record, the queue the rest.
+    # The writer has one record, and the queue has the others.
     kept = context.logged - output.dropped
     assert context.queue_size <= kept <= context.queue_size + 1, kept
     context.stalled.released.set()
@@ -91,7 +91,7 @@
 
 
 @when('the logs are configured at level "{level}"')
-def configure_wrong(context: Any, level: str) -> None:
+def configure_unknown_level(context: Any, level: str) -> None:
     context.log_error = None
     try:
         logs.configure(LogSettings(level=level), 'entry-1')
@@ -99,7 +99,7 @@
         context.log_error = str(error)
 
 
-@then('the log error names "{level}" and the levels that exist')
-def names_level(context: Any, level: str) -> None:
+@then('the error contains "{level}" and the valid levels')
+def check_level(context: Any, level: str) -> None:
     assert level in context.log_error
     assert 'debug, info, warning, error' in context.log_error
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -42,7 +42,7 @@
 
 PACKAGE = pathlib.Path('bergamotdoor')
 ADAPTER = PACKAGE / 'platform'
-WIRE = re.compile(
+PROTOCOL_NAMES = re.compile(
     r'x-bergamotdoor-|retirements|/-/(lots|items|order|report|objects)'
     r'|cold_left_ms|more_pages|as_of|next_token|max_wait_s|max_conns'
     r'|goal_ms|can_resume|min_version["\']|beat_interval_ms'
@@ -50,38 +50,38 @@
     r'|usage_window_s|usage_late_s',
     re.IGNORECASE,
 )
-MOST_LINES = 900
-MOST_LINES_A_FILE = 160
+MAX_LINES = 900
+MAX_FILE_LINES = 160
 
 
-def modules() -> list[pathlib.Path]:
+def package_modules() -> list[pathlib.Path]:
     return sorted(PACKAGE.rglob('*.py'))
 
 
-def lines(path: pathlib.Path) -> int:
+def count_lines(path: pathlib.Path) -> int:
     return len(path.read_text().splitlines())
 
 
-@then('no module outside bergamotdoor/platform holds a name of the wire')
-def no_names(_: Any) -> None:
+@then('no module outside bergamotdoor/platform contains a name of the protocol')
+def check_protocol_names(_: Any) -> None:
     found = {
         str(path): match.group()
-        for path in modules()
+        for path in package_modules()
         if ADAPTER not in path.parents
-        and (match := WIRE.search(path.read_text()))
+        and (match := PROTOCOL_NAMES.search(path.read_text()))
     }
     assert not found, found
 
 
 @then('the adapter is small, as a whole and in each file')
-def small(_: Any) -> None:
-    sizes = {path.name: lines(path) for path in ADAPTER.rglob('*.py')}
-    assert sum(sizes.values()) <= MOST_LINES, sizes
-    assert max(sizes.values()) <= MOST_LINES_A_FILE, sizes
+def check_size(_: Any) -> None:
+    sizes = {path.name: count_lines(path) for path in ADAPTER.rglob('*.py')}
+    assert sum(sizes.values()) <= MAX_LINES, sizes
+    assert max(sizes.values()) <= MAX_FILE_LINES, sizes
 
 
-def manifest(version: int) -> bytes:
-    written = {
+def manifest_body(version: int) -> bytes:
+    fields = {
         'version': version,
         'routes': [
             {
@@ -110,82 +110,86 @@
         ],
         'limits': {'max_body_bytes': 5, 'idle_timeout_ms': 4000},
     }
-    return json.dumps(written).encode()
+    return json.dumps(fields).encode()
 
 
 @given("the operator's manifest of two routes and a split")
-def two_routes(context: Any) -> None:
-    context.manifest = parse_manifest(stored(manifest(7)))
+def decode_manifest(context: Any) -> None:
+    context.manifest = parse_manifest(stored_object(manifest_body(7)))
 
 
 @then('its routes have kinds, shares, bounds and limits with their units')
-def typed(context: Any) -> None:
-    found = context.manifest
-    jobs = found.match('a.example:80', '/p/x?y=/p/q/')
+def check_routes(context: Any) -> None:
+    manifest = context.manifest
+    jobs = manifest.match('a.example:80', '/p/x?y=/p/q/')
     assert jobs.kind is RouteKind.BATCH
     assert jobs.due == dt.timedelta(milliseconds=7500)
     assert jobs.give_up.total_seconds() == 40
-    calls = found.match('A.EXAMPLE', '/p/q/x')
+    calls = manifest.match('A.EXAMPLE', '/p/q/x')
     assert calls.kind is RouteKind.ONCE
     assert calls.objective == dt.timedelta(milliseconds=191)
-    assert found.match('b.example', '/p/q/x') is None
-    assert found.match('a.example', '/p') is None
-    assert found.limits.max_body_bytes == 5
-    assert found.limits.idle_timeout.total_seconds() == 4
+    assert manifest.match('b.example', '/p/q/x') is None
+    assert manifest.match('a.example', '/p') is None
+    assert manifest.limits.max_body_bytes == 5
+    assert manifest.limits.idle_timeout.total_seconds() == 4
 
 
 @then('its split is drawn by weight')
-def split(context: Any) -> None:
+def check_split(context: Any) -> None:
     calls = context.manifest.match('a.example', '/p/q/x')
-    drawn = [pick_service(calls, draw / 100) for draw in range(100)]
-    assert drawn.count(ServiceId('s2')) == 90, drawn
-    assert drawn.count(ServiceId('s3')) == 10, drawn
+    picked = [pick_service(calls, draw / 100) for draw in range(100)]
+    assert picked.count(ServiceId('s2')) == 90, picked
+    assert picked.count(ServiceId('s3')) == 10, picked
 
 
 @given('a process with manifest 7')
-def process(context: Any) -> None:
+def process_with_manifest(context: Any) -> None:
     context.view = ManifestView(lambda: None)
-    show(context, 7)
+    receive_manifest(context, 7)
 
 
-def show(context: Any, version: int) -> int:
-    stored = StoredObject('main', Revision(1), manifest(version))
-    context.view.reset(Listing((stored,), Revision(1)))
+def receive_manifest(context: Any, version: int) -> int:
+    """Reset the view to a manifest; return the generation in force."""
+    found = StoredObject('main', Revision(1), manifest_body(version))
+    context.view.reset(Listing((found,), Revision(1)))
     return int(context.view.manifest.generation)
 
 
-@when('it is shown manifest 5, then 9')
-def shown(context: Any) -> None:
-    context.generations = [show(context, 5), show(context, 9)]
+@when('it receives manifest 5, then 9')
+def receive_two_manifests(context: Any) -> None:
+    context.generations = [
+        receive_manifest(context, 5),
+        receive_manifest(context, 9),
+    ]
 
 
 @then('it has manifest 7, then 9')
-def has(context: Any) -> None:
+def check_generations(context: Any) -> None:
     assert context.generations == [7, 9], context.generations
 
 
-@then('the {what} {text} is refused, naming {field}')
-def refused_naming(_: Any, what: str, text: str, field: str) -> None:
-    refused(what, text, field)
+@then('the {what} {text} is rejected with the field {field}')
+def check_rejected(_: Any, what: str, text: str, field: str) -> None:
+    parse_invalid(what, text, field)
 
 
-def refused(what: str, text: str, field: str) -> None:
+def parse_invalid(what: str, text: str, field: str) -> None:
     try:
         if what == 'manifest':
-            parse_manifest(stored(text.encode()))
+            parse_manifest(stored_object(text.encode()))
         else:
             parse_node_settings(text.encode(), 'a file')
     except (UnreadableError, SettingsError) as error:
         assert field in str(error), error
         return
-    raise AssertionError('not refused')
+    raise AssertionError('not rejected')
 
 
-class Stores:
-    """Notes which store it is told to use."""
+class RecordingDaemon:
+    """Daemon that records the port of the store in each settings applied."""
 
     def __init__(self) -> None:
-        self.used: list[int] = []
+        self.store_ports: list[int] = []
 
     async def start(self) -> None:
         """Nothing to do."""
@@ -194,7 +198,7 @@
         """Nothing to do."""
 
     def use_settings(self, settings: Any) -> None:
-        self.used.append(settings.store.port)
+        self.store_ports.append(settings.store.port)
 
 
 def settings_text(port: int) -> str:
@@ -209,29 +213,29 @@
 
 
 @given('a running process and its settings file')
-def running(context: Any) -> None:
+def running_process(context: Any) -> None:
     folder = tempfile.mkdtemp()
     context.path = pathlib.Path(folder) / 'settings.json'
     context.path.write_text(settings_text(1))
-    context.stores = Stores()
-    context.daemon = ReloadingDaemon(context.stores, str(context.path), b'')
-    context.daemon.reload()
+    context.daemon = RecordingDaemon()
+    context.reloading = ReloadingDaemon(context.daemon, str(context.path), b'')
+    context.reloading.reload()
 
 
-@when('the file names another store, is broken, and names a third one')
-def changes(context: Any) -> None:
+@when('the file names another store, is malformed, and names a third store')
+def change_file(context: Any) -> None:
     for text in (settings_text(2), '{', settings_text(2), settings_text(3)):
         context.path.write_text(text)
-        context.daemon.reload()
+        context.reloading.reload()
 
 
 @then('the process uses the second store, keeps it, and uses the third')
-def uses(context: Any) -> None:
-    assert context.stores.used == [1, 2, 3], context.stores.used
+def check_stores(context: Any) -> None:
+    assert context.daemon.store_ports == [1, 2, 3], context.daemon.store_ports
 
 
-@then('no random body makes a parser of the adapter fail otherwise')
-def fuzz(_: Any) -> None:
+@then('no random body makes a parser raise another error')
+def check_random_bodies(_: Any) -> None:
     bodies = hypothesis.strategies.one_of(
         hypothesis.strategies.binary(max_size=200),
         json_bodies(),
@@ -274,12 +278,12 @@
     return values.map(lambda value: json.dumps(value).encode())
 
 
-def stored(body: bytes) -> StoredObject:
+def stored_object(body: bytes) -> StoredObject:
     return StoredObject('u', Revision(1), body, body)
 
 
 class Parser(NamedTuple):
-    """Reads bytes from outside, and fails with one kind of error only."""
+    """Parser of bytes from outside, and the only error that it may raise."""
 
     parse: Callable[[bytes], Any]
     error: type[Exception]
@@ -290,12 +294,12 @@
     Parser(parse_page, UnreadableError),
     Parser(parse_changes, UnreadableError),
     Parser(parse_object, UnreadableError),
-    Parser(lambda body: parse_manifest(stored(body)), UnreadableError),
-    Parser(lambda body: parse_upstream(stored(body)), UnreadableError),
-    Parser(lambda body: parse_version(stored(body)), UnreadableError),
-    Parser(lambda body: is_completed(stored(body)), UnreadableError),
-    Parser(lambda body: found_job(stored(body)), UnreadableError),
-    Parser(lambda body: record_of(stored(body)), UnreadableError),
+    Parser(lambda body: parse_manifest(stored_object(body)), UnreadableError),
+    Parser(lambda body: parse_upstream(stored_object(body)), UnreadableError),
+    Parser(lambda body: parse_version(stored_object(body)), UnreadableError),
+    Parser(lambda body: is_completed(stored_object(body)), UnreadableError),
+    Parser(lambda body: found_job(stored_object(body)), UnreadableError),
+    Parser(lambda body: record_of(stored_object(body)), UnreadableError),
     Parser(lambda body: parse_job(JobId('j'), 'h', '/p', body), ValueError),
     Parser(lambda body: parse_node_settings(body, 'a file'), SettingsError),
     Parser(
--- a/features/steps/utils_steps.py
+++ b/features/steps/utils_steps.py
@@ -15,7 +15,7 @@
 
 
 @given('upstream names in two different orders')
-def two_orders(context: Any) -> None:
+def names_in_two_orders(context: Any) -> None:
     context.orders = [NAMES, list(reversed(NAMES))]
 
 
@@ -25,29 +25,38 @@
 
 
 @then('the two orders are the same')
-def same(context: Any) -> None:
+def check_same_order(context: Any) -> None:
     assert context.ordered[0] == context.ordered[1]
 
 
 @then('a removed name leaves the order of the others unchanged')
-def removed(context: Any) -> None:
+def check_removal(context: Any) -> None:
     full = context.ordered[0]
-    gone = full[3]
-    fewer = hrw_order('a-key', [name for name in NAMES if name != gone])
-    assert fewer == [name for name in full if name != gone]
+    removed = full[3]
+    fewer = hrw_order('a-key', [name for name in NAMES if name != removed])
+    assert fewer == [name for name in full if name != removed]
 
 
-#: Where the time of day is read, and the calls that read it.
-READERS = {
+#: The modules that may read the wall clock.
+WALL_CLOCK_READERS = {
     'clock.py',
     'http/_outgoing.py',
     'observe/logs.py',
     'reporting/counting.py',
 }
-WALL_CLOCK = {'now', 'utcnow', 'today', 'time', 'time_ns', 'localtime'}
+#: The names of functions that read the wall clock.
+WALL_CLOCK_FUNCTIONS = {
+    'now',
+    'utcnow',
+    'today',
+    'time',
+    'time_ns',
+    'localtime',
+}
 
 
-def reads_time_of_day(path: Path) -> bool:
+def reads_wall_clock(path: Path) -> bool:
+    """Return whether a module calls a function that reads the wall clock."""
     calls = (
         node.func
         for node in ast.walk(ast.parse(path.read_text()))
@@ -55,26 +64,26 @@
     )
     return any(
         isinstance(call, ast.Attribute)
-        and call.attr in WALL_CLOCK
+        and call.attr in WALL_CLOCK_FUNCTIONS
         and not is_loop_time(call)
         for call in calls
     )
 
 
 def is_loop_time(call: ast.Attribute) -> bool:
-    """Return whether it is the event loop's steady time."""
+    """Return whether a call reads the event loop's monotonic time."""
     return 'loop' in ast.unparse(call.value)
 
 
 @then(
-    "only the clock, the answers' Date, the logs and the windows of usage"
-    ' read the time of day'
+    'only the clock, the Date of responses, the logs and the usage windows'
+    ' read the wall clock'
 )
-def time_of_day(_: Any) -> None:
+def check_wall_clock_readers(_: Any) -> None:
     package = Path(bergamotdoor.__file__).parent
     found = {
         str(path.relative_to(package))
         for path in package.rglob('*.py')
-        if reads_time_of_day(path)
+        if reads_wall_clock(path)
     }
-    assert found <= READERS, found - READERS
+    assert found <= WALL_CLOCK_READERS, found - WALL_CLOCK_READERS
--- a/features/support.py
+++ b/features/support.py
@@ -1,4 +1,4 @@
-"""Runs Hypothesis machines from steps, and gathers what is logged."""
+"""Helpers for steps: Hypothesis state machines and captured log lines."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     from collections.abc import Iterator
 
 
-class _Lines(logging.Handler):
-    """Keeps what is logged."""
+class _MessageCollector(logging.Handler):
+    """Handler that keeps the messages of all records."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,8 +26,14 @@
 
 @contextlib.contextmanager
 def logged(name: str) -> Iterator[list[str]]:
-    """Gather the lines that a logger takes."""
-    handler = _Lines()
+    """Collect the messages that are logged to a logger in the context.
+
+    Yields
+    ------
+    list of str
+        The messages so far.
+    """
+    handler = _MessageCollector()
     logger = logging.getLogger(name)
     logger.addHandler(handler)
     try:
@@ -41,7 +47,17 @@
     examples: int = 60,
     steps: int = 40,
 ) -> None:
-    """Run a Hypothesis machine, the same cases every time."""
+    """Run a Hypothesis state machine, with the same cases in every run.
+
+    Parameters
+    ----------
+    machine
+        The state machine.
+    examples
+        The number of sequences of steps.
+    steps
+        The maximum number of steps in a sequence.
+    """
     settings = hypothesis.settings(
         derandomize=True,
         max_examples=examples,
--- a/features/utils.feature
+++ b/features/utils.feature
@@ -1,15 +1,15 @@
 Feature: shared helpers
 
-  Scenario: highest random weight orders names alike in every process
+  Scenario: the order by highest random weight is the same in every process
     Given upstream names in two different orders
     When both are ordered for the same key
     Then the two orders are the same
     And a removed name leaves the order of the others unchanged
 
-  Scenario: no decision depends on the time of day
-    The time of day jumps by seconds on some VMs, ahead and back. Whatever
-    waits, expires or takes turns goes by the steady clock; the time of day
-    is for lines of the log and the Date of an answer. Windows of usage are
-    cut by true time, which leaves the jumps out.
+  Scenario: no decision depends on the wall clock
+    The wall clock of some VMs jumps by seconds, forwards and backwards. All
+    delays, expiries and turns use the monotonic clock. The wall clock is only
+    used for log lines and the Date header of responses. The usage windows
+    use a time from which the jumps are removed.
 
-    Then only the clock, the answers' Date, the logs and the windows of usage read the time of day
+    Then only the clock, the Date of responses, the logs and the usage windows read the wall clock
