--- a/bergamotdoor/agent/weights.py
+++ b/bergamotdoor/agent/weights.py
@@ -34,10 +34,11 @@
 #: How long the listing of engines is cached. Engines are seldom added or
 #: removed, and a stale listing costs a tenth of a call.
 _ENGINES_CACHE_TIME: Final = dt.timedelta(seconds=5)
-#: An order after which the engine neither loads nor has the version by then
-#: was lost or is delayed, and is sent again. The count of accepted orders
-#: that both contain prevents the first from taking effect as well. A load
-#: takes 0.9 s, longer while other engines load; no order is sent meanwhile.
+#: The delay after which an order is sent again if the engine neither loads
+#: nor has the version: the order was lost or is delayed. The count of
+#: accepted orders in both orders prevents the first one from taking effect as
+#: well. A load takes 0.9 s, longer while other engines load; no order is sent
+#: during a load.
 _ORDER_RETRY_MS: Final = 700
 _ORDER_RETRY_DELAY: Final = dt.timedelta(milliseconds=_ORDER_RETRY_MS)
 
--- a/bergamotdoor/anatomy/report.py
+++ b/bergamotdoor/anatomy/report.py
@@ -10,9 +10,9 @@
 
     from bergamotdoor.anatomy.steps import ItemRun, StepAnatomy
 
-#: The width of a timeline, which stands for the whole time of a step.
+#: The width of a timeline, which represents the whole time of a step.
 _TIMELINE_CHARS: Final = 60
-#: The number of characters shown of an id; fewer distinguish ids.
+#: How many characters of an id are shown; fewer already distinguish ids.
 _ID_CHARS: Final = 12
 _COUNT_COLUMNS: Final = ('items', 'owners', 'refused', 'moved')
 _TIME_COLUMNS: Final = ('first_item', 'last_text', 'listed', 'shown', 'ended')
@@ -37,10 +37,12 @@
         yield '  '.join(cell.rjust(width) for cell, width in cells)
 
 
-def _format_row(step: StepAnatomy, pace_s: float | None) -> tuple[str, ...]:
+def _format_row(
+    step: StepAnatomy, event_interval_s: float | None
+) -> tuple[str, ...]:
     counts = (str(getattr(step, name)) for name in _COUNT_COLUMNS)
     times = (_format_seconds(getattr(step, name)) for name in _TIME_COLUMNS)
-    floor = None if pace_s is None else step.floor(pace_s)
+    floor = None if event_interval_s is None else step.floor(event_interval_s)
     return (step.job[:_ID_CHARS], *counts, *times, _format_seconds(floor))
 
 
--- a/bergamotdoor/anatomy/steps.py
+++ b/bergamotdoor/anatomy/steps.py
@@ -22,10 +22,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-#: The fewest events of a run from which an engine's pace is computed. The
+#: The fewest events of a run from which an event interval is computed. The
 #: time of a run includes that of its prompt, which weighs too much in a
 #: shorter run.
-_MIN_PACE_EVENTS: Final = 40
+_MIN_INTERVAL_EVENTS: Final = 40
 _MS_PER_S: Final = 1000
 _REACHED: Final = 'reached'
 _COMPLETED: Final = 'completed'
@@ -70,7 +70,7 @@
     slowest: tuple[ItemRun, ...]
 
     def floor(self, pace_s: float) -> dt.timedelta:
-        """Return the minimum time of the step at a pace in s per event."""
+        """Return the minimum time of the step, given the seconds per event."""
         return dt.timedelta(seconds=self.longest * pace_s)
 
 
@@ -85,19 +85,19 @@
 
 
 def usual_pace_s(events: Iterable[StepEvent]) -> float | None:
-    """Return the median pace of complete runs, in s per event.
+    """Return the median event interval of complete runs, in s per event.
 
     The fastest run would mislead: a run that continues after the events of
     an earlier run appears faster than any engine is.
     """
-    paces = (
+    intervals_s = (
         one.took_ms / _MS_PER_S / one.events
         for one in events
         if isinstance(one, RunEnded)
         and one.end == _COMPLETED
-        and one.events >= _MIN_PACE_EVENTS
+        and one.events >= _MIN_INTERVAL_EVENTS
     )
-    found = sorted(paces)
+    found = sorted(intervals_s)
     return found[len(found) // 2] if found else None
 
 
--- a/bergamotdoor/cli/anatomy.py
+++ b/bergamotdoor/cli/anatomy.py
@@ -34,7 +34,7 @@
     if not invocation.words:
         raise UsageError('at least one LOG is expected, - for standard input')
     events = list(read_events(_read_lines(invocation.words)))
-    pace_s = usual_pace_s(events)
+    event_interval_s = usual_pace_s(events)
     job = str(invocation.given[_JOB] or '')
     steps = [step for step in gather_steps(events) if step.job.startswith(job)]
     if not steps:
@@ -44,7 +44,7 @@
         text_json = msgspec.json.encode(steps).decode()
         sys.stdout.write(f'{text_json}\n')
     else:
-        _print_steps(steps, pace_s, with_timelines=bool(job))
+        _print_steps(steps, event_interval_s, with_timelines=bool(job))
     return ExitCode.OK
 
 
@@ -61,9 +61,11 @@
 
 
 def _print_steps(
-    steps: list[StepAnatomy], pace_s: float | None, with_timelines: bool
+    steps: list[StepAnatomy],
+    event_interval_s: float | None,
+    with_timelines: bool,
 ) -> None:
-    _print_lines(table(steps, pace_s))
+    _print_lines(table(steps, event_interval_s))
     for step in steps:
         _print_lines(timeline(step) if with_timelines else ())
 
--- a/bergamotdoor/cli/serving.py
+++ b/bergamotdoor/cli/serving.py
@@ -78,7 +78,7 @@
     process_name: str,
     stop_timeout: dt.timedelta,
 ) -> int:
-    """Run a daemon as the whole of this process; return its exit code.
+    """Run a daemon in this process until it stops; return the exit code.
 
     Parameters
     ----------
--- a/bergamotdoor/settings/node.py
+++ b/bergamotdoor/settings/node.py
@@ -31,7 +31,7 @@
     ip: str
     #: The address of the platform's object store.
     store: Address
-    #: The maximum size of a stored object.
+    #: The maximum size of a stored object, in bytes.
     object_bytes: int
     #: Where callers connect; ``None`` if the process is not an entry.
     callers: Address | None
@@ -57,5 +57,5 @@
     #: if the store is unreachable. If ``None``, a key stops working when the
     #: new manifest is received.
     revocation: dt.timedelta | None = None
-    #: ``None`` if usage is not reported.
+    #: The settings of usage reports; ``None`` if usage is not reported.
     duties: DutySettings | None = None
--- a/features/steps/cli_anatomy_steps.py
+++ b/features/steps/cli_anatomy_steps.py
@@ -117,7 +117,7 @@
 @when('its anatomy is computed')
 def compute_anatomy(context: Any) -> None:
     events = list(read_events(context.lines))
-    context.pace_s = usual_pace_s(events)
+    context.event_interval_s = usual_pace_s(events)
     steps = list(gather_steps(events))
     assert len(steps) == 1, steps
     context.step = steps[0]
@@ -139,7 +139,7 @@
 
 @then('its floor is 2.4 s, and its last text at most 0.3 s later')
 def check_floor(context: Any) -> None:
-    floor = context.step.floor(context.pace_s)
+    floor = context.step.floor(context.event_interval_s)
     assert abs(floor - dt.timedelta(seconds=2.4)) <= TOLERANCE, floor
     excess = context.step.last_text - floor
     assert excess <= 3 * TOLERANCE, excess
