--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -247,8 +247,8 @@
     Mutation(
         'an unreadable object does not affect the others of its page',
         'platform/store_wire.py',
-        'tuple(_readable(written.items, parse_object))',
-        'tuple(parse_object(bytes(item)) for item in written.items)',
+        'tuple(_decode_readable(decoded.items, parse_object))',
+        'tuple(parse_object(bytes(item)) for item in decoded.items)',
         'objects_foreign',
     ),
     Mutation(
@@ -275,8 +275,8 @@
     Mutation(
         'an engine is polled even if no version is new',
         'agent/weights.py',
-        '_LOOK_S: Final = 1\n',
-        '_LOOK_S: Final = 1000\n',
+        '_CHECK_INTERVAL_S: Final = 1\n',
+        '_CHECK_INTERVAL_S: Final = 1000\n',
         _INCARNATIONS,
     ),
     Mutation(
@@ -409,7 +409,7 @@
     Mutation(
         'an engine that no job can use loads new weights at once',
         'agent/weights.py',
-        'while now < until and not self._useless(report, model):',
+        'while now < until and not self._has_unusable_weights(report, model):',
         'while now < until:',
         'agent_weights',
     ),
