--- a/bergamotdoor/duties/true_time.py
+++ b/bergamotdoor/duties/jump_filtered_clock.py
@@ -16,7 +16,7 @@
 _ACCEPT_JUMP_AFTER: Final = dt.timedelta(seconds=_ACCEPT_JUMP_AFTER_S)
 
 
-class TrueTime:
+class JumpFilteredClock:
     """Wall time that ignores short jumps of the wall clock.
 
     The wall clock of a VM may jump by seconds, and back some seconds later.
--- a/bergamotdoor/duties/tenure.py
+++ b/bergamotdoor/duties/lease.py
@@ -57,27 +57,27 @@
     revision: Revision
     #: When this process first saw the record at this revision, measured since
     #: the machine's start.
-    seen_at: dt.timedelta
+    unchanged_since: dt.timedelta
 
 
-class TenureBounds(msgspec.Struct, frozen=True):
+class LeaseBounds(msgspec.Struct, frozen=True):
     """Time for which a holder may act, and other processes have to wait."""
 
     #: Time within which the duty must not alternate between two holders.
     lease: dt.timedelta
 
     @property
-    def acting(self) -> dt.timedelta:
+    def acting_time(self) -> dt.timedelta:
         """Time within which a holder may act, from the start of its write."""
         return self.lease * _ACTING_SHARE
 
     @property
     def call_timeout(self) -> dt.timedelta:
         """Timeout of a call that a holder makes when it acts."""
-        return (self.quiet - self.acting) / 2
+        return (self.takeover_delay - self.acting_time) / 2
 
     @property
-    def quiet(self) -> dt.timedelta:
+    def takeover_delay(self) -> dt.timedelta:
         """Time for which a record is unchanged before it is taken over."""
         return self.lease * _QUIET_SHARE
 
@@ -92,9 +92,9 @@
         now
             The present, measured since the machine's start.
         """
-        return now - written_at < self.acting
+        return now - written_at < self.acting_time
 
-    def may_take(self, known: KnownRecord, now: dt.timedelta) -> bool:
+    def may_take_over(self, known: KnownRecord, now: dt.timedelta) -> bool:
         """Return whether another process may take the duty over.
 
         Parameters
@@ -104,10 +104,10 @@
         now
             The present, measured since the machine's start.
         """
-        return now - known.seen_at >= self.quiet
+        return now - known.unchanged_since >= self.takeover_delay
 
 
-def taken_over(known: DutyRecord, node: NodeId, boot: str) -> DutyRecord:
+def successor_record(known: DutyRecord, node: NodeId, boot: str) -> DutyRecord:
     """Return the record with which a process takes a duty over.
 
     The new holder keeps what the previous holder has decided.
--- a/bergamotdoor/duties/usage.py
+++ b/bergamotdoor/duties/usage.py
@@ -68,7 +68,7 @@
         while len(self._counts) > _MAX_WINDOWS:
             del self._counts[min(self._counts)]
 
-    def reported(self, below: UsageWindow) -> None:
+    def drop_decided(self, below: UsageWindow) -> None:
         """Drop the counts of all windows below `below`.
 
         Their reports are decided.
@@ -85,7 +85,7 @@
         }
 
 
-class UsageBook:
+class CollectedUsage:
     """Request counts of all entry processes, as far as this one got them."""
 
     def __init__(self) -> None:
@@ -94,7 +94,7 @@
         #: When each entry's counts last arrived, since the machine's start.
         self._updated_at: dict[NodeId, dt.timedelta] = {}
 
-    def take(self, usage: EntryUsage, now: dt.timedelta) -> None:
+    def update(self, usage: EntryUsage, now: dt.timedelta) -> None:
         """Add or update the counts of an entry.
 
         Parameters
@@ -113,7 +113,7 @@
             )
         self._updated_at[usage.node] = now
 
-    def reported(self, below: UsageWindow) -> None:
+    def drop_decided(self, below: UsageWindow) -> None:
         """Drop the counts of all windows below `below`.
 
         Their reports are decided.
@@ -136,7 +136,7 @@
             total.update(usage.counts.get(window, {}))
         return dict(total)
 
-    def missing(
+    def unfinished_entries(
         self, window: UsageWindow, since: dt.timedelta
     ) -> frozenset[NodeId]:
         """Return the entries whose counts of a window may still grow.
@@ -157,7 +157,7 @@
         }
         return frozenset(alive - whole)
 
-    def alive(self, since: dt.timedelta) -> int:
+    def count_alive(self, since: dt.timedelta) -> int:
         """Return the number of entries whose counts arrived since `since`."""
         return sum(at >= since for at in self._updated_at.values())
 
--- a/bergamotdoor/peers/duty_messages.py
+++ b/bergamotdoor/peers/duty_messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from bergamotdoor.duties.tenure import DutyRecord
+from bergamotdoor.duties.lease import DutyRecord
 from bergamotdoor.duties.usage import EntryUsage
 from bergamotdoor.types import Revision
 
--- a/bergamotdoor/reporting/counting.py
+++ b/bergamotdoor/reporting/counting.py
@@ -5,13 +5,13 @@
 import datetime as dt
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from bergamotdoor.duties.true_time import TrueTime
+from bergamotdoor.duties.jump_filtered_clock import JumpFilteredClock
 from bergamotdoor.duties.usage import EntryUsage, UsageTally, Windows
 from bergamotdoor.types import UsageWindow
 
 if TYPE_CHECKING:
     from bergamotdoor.clock import Clock
-    from bergamotdoor.duties.usage import UsageBook
+    from bergamotdoor.duties.usage import CollectedUsage
     from bergamotdoor.types import AccountId, NodeId
 
 #: A request that a caller sent in a window may reach the counter so much later.
@@ -44,7 +44,7 @@
         self.node = node
         self.boot = boot
         self._clock = clock
-        self._true_time = TrueTime()
+        self._filtered_clock = JumpFilteredClock()
         self._tally = UsageTally()
         #: Arrival times of the requests in progress, by request number.
         self._open_requests: dict[int, dt.datetime] = {}
@@ -54,7 +54,7 @@
     def true_time(self) -> dt.datetime:
         """Return the time of day, corrected for jumps of the wall clock."""
         clock = self._clock
-        return self._true_time.read(clock.now(), clock.uptime())
+        return self._filtered_clock.read(clock.now(), clock.uptime())
 
     def enter(self) -> int:
         """Register the arrival of a request.
@@ -102,7 +102,7 @@
         below
             All windows below this one are decided.
         """
-        self._tally.reported(below)
+        self._tally.drop_decided(below)
 
     def told(self) -> EntryUsage:
         """Return the counts that are not reported yet."""
@@ -126,4 +126,4 @@
     #: Counts the requests of this entry.
     own: UsageCounter
     #: Counts that all entries have sent to this one, including itself.
-    told: UsageBook
+    told: CollectedUsage
--- a/bergamotdoor/reporting/duty_peers.py
+++ b/bergamotdoor/reporting/duty_peers.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from bergamotdoor.clock import Clock
-    from bergamotdoor.duties.tenure import KnownRecord
+    from bergamotdoor.duties.lease import KnownRecord
     from bergamotdoor.peers.client import PeerClient
     from bergamotdoor.peers.directory import Directory
     from bergamotdoor.settings.document import Address
--- a/bergamotdoor/reporting/receiver.py
+++ b/bergamotdoor/reporting/receiver.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     import datetime as dt
 
-    from bergamotdoor.duties.tenure import DutyRecord
+    from bergamotdoor.duties.lease import DutyRecord
     from bergamotdoor.duties.usage import UsageReport
     from bergamotdoor.http.messages import Client
     from bergamotdoor.settings.document import Address
--- a/bergamotdoor/reporting/record.py
+++ b/bergamotdoor/reporting/record.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from bergamotdoor.duties.tenure import DutyRecord, KnownRecord
+from bergamotdoor.duties.lease import DutyRecord, KnownRecord
 from bergamotdoor.objects.reader import ObjectReader
 from bergamotdoor.stored import Conflict, Outcome, StoredObject, reading
 
--- a/bergamotdoor/reporting/reporter.py
+++ b/bergamotdoor/reporting/reporter.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from bergamotdoor.duties.tenure import DutyRecord, TenureBounds, taken_over
+from bergamotdoor.duties.lease import DutyRecord, LeaseBounds, successor_record
 from bergamotdoor.duties.usage import UsageReport
 from bergamotdoor.reporting.receiver import Receipt
 from bergamotdoor.types import FencingToken, UsageWindow
@@ -17,7 +17,7 @@
     from collections.abc import Callable, Iterator
 
     from bergamotdoor.clock import Clock
-    from bergamotdoor.duties.tenure import KnownRecord
+    from bergamotdoor.duties.lease import KnownRecord
     from bergamotdoor.reporting.counting import UsageCounts
     from bergamotdoor.reporting.duty_peers import DutyPeers
     from bergamotdoor.reporting.receiver import Receiver
@@ -80,12 +80,12 @@
         clock: Clock,
     ) -> None:
         self._counter = counts.own
-        self._book = counts.told
+        self._collected_usage = counts.told
         self._store = store
         self._receiver = receiver
         self._peers = peers
         self._settings = settings
-        self._bounds = TenureBounds(settings.lease)
+        self._bounds = LeaseBounds(settings.lease)
         self._clock = clock
         #: First complete window of this process. Reports begin with it if
         #: there is no record that says which windows are decided.
@@ -156,13 +156,13 @@
     def _may_take_over(self, known: KnownRecord | None) -> bool:
         """Return whether the duty is free, or its holder surely inactive."""
         now = self._clock.uptime()
-        return known is None or self._bounds.may_take(known, now)
+        return known is None or self._bounds.may_take_over(known, now)
 
     def _next_record(self, known: KnownRecord | None) -> DutyRecord:
         node, boot = self._counter.node, self._counter.boot
         if known is None:
             return DutyRecord(node, FencingToken(1), boot, self._first_window)
-        return taken_over(known.record, node, boot)
+        return successor_record(known.record, node, boot)
 
     async def _claim_duty(self, record: DutyRecord) -> None:
         if await self._write_record(record) or self.holds:
@@ -205,7 +205,7 @@
             window = UsageWindow(number)
             if not self._may_decide(window):
                 return
-            yield UsageReport(window, self._book.counts(window))
+            yield UsageReport(window, self._collected_usage.counts(window))
 
     def _may_decide(self, window: UsageWindow) -> bool:
         """Return whether this process may decide a window now.
@@ -217,11 +217,13 @@
         if self._counter.whole_below <= window:
             return False
         since = self._clock.uptime() - windows.length * _MAX_SILENT_WINDOWS
-        missing = len(self._book.missing(window, since))
+        unfinished = len(
+            self._collected_usage.unfinished_entries(window, since)
+        )
         collection_time = self._settings.usage_due * _COLLECTION_SHARE
         if self._counter.true_time() < windows.end(window) + collection_time:
-            return not missing
-        return missing * 2 <= self._book.alive(since)
+            return not unfinished
+        return unfinished * 2 <= self._collected_usage.count_alive(since)
 
     async def _write_record(self, record: DutyRecord) -> bool:
         """Write and announce the duty's record.
@@ -260,4 +262,4 @@
         known = self._store.known
         if known is not None:
             self._counter.reported(known.record.decided_below)
-            self._book.reported(known.record.decided_below)
+            self._collected_usage.drop_decided(known.record.decided_below)
--- a/bergamotdoor/reporting/telling.py
+++ b/bergamotdoor/reporting/telling.py
@@ -59,7 +59,7 @@
         clock: Clock,
     ) -> None:
         self._counter = counts.own
-        self._book = counts.told
+        self._collected_usage = counts.told
         self._store = store
         self._peers = peers
         self._clock = clock
@@ -99,7 +99,7 @@
 
     async def _send_to(self, node: NodeId, usage: EntryUsage) -> None:
         if node == self._peers.node:
-            self._book.take(usage, self._clock.uptime())
+            self._collected_usage.update(usage, self._clock.uptime())
             return
         address = self._peers.address(node)
         if address is None or self._last_accepted.get(node) == usage:
--- a/bergamotdoor/reporting/usage_duty.py
+++ b/bergamotdoor/reporting/usage_duty.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from bergamotdoor.duties.usage import UsageBook
+from bergamotdoor.duties.usage import CollectedUsage
 from bergamotdoor.peers.duty_messages import DutyHeld, UsageTold
 from bergamotdoor.reporting.counting import UsageCounter, UsageCounts
 from bergamotdoor.reporting.duty_peers import DutyPeers
@@ -79,12 +79,12 @@
             clock, duties.usage_window, settings.node, boot
         )
         self._clock = clock
-        self._book = UsageBook()
+        self._collected_usage = CollectedUsage()
         self._store = DutyStore(access.store, clock)
         peers = DutyPeers(
             settings.node, access.peers, access.directory, tasks, clock
         )
-        counts = UsageCounts(self.counter, self._book)
+        counts = UsageCounts(self.counter, self._collected_usage)
         self._usage_sender = UsageTeller(counts, self._store, peers, clock)
         self._reporter = UsageReporter(
             counts,
@@ -104,7 +104,7 @@
     def take(self, message: UsageTold | DutyHeld) -> None:
         """Handle a message of another entry."""
         if isinstance(message, UsageTold):
-            self._book.take(message.usage, self._clock.uptime())
+            self._collected_usage.update(message.usage, self._clock.uptime())
             return
         self._reporter.learn(message.record, message.revision)
         self._usage_sender.begin_again()
--- a/features/steps/reporting_usage_steps.py
+++ b/features/steps/reporting_usage_steps.py
@@ -10,7 +10,7 @@
 
 from behave import given, then, when
 
-from bergamotdoor.duties.true_time import TrueTime
+from bergamotdoor.duties.jump_filtered_clock import JumpFilteredClock
 from bergamotdoor.types import NodeId
 from features.usage_scenes import SuspendableClock
 from lab.client import Call
@@ -371,10 +371,10 @@
 
 @then('the corrected time advances evenly')
 def check_corrected_time(context: Any) -> None:
-    true_time = TrueTime()
+    clock = JumpFilteredClock()
     start = dt.datetime(2026, 1, 1, tzinfo=dt.UTC)
     readings = [
-        true_time.read(
+        clock.read(
             start + dt.timedelta(seconds=wall), dt.timedelta(seconds=uptime)
         )
         for uptime, wall in context.jumps
--- a/lab/model/duties.py
+++ b/lab/model/duties.py
@@ -12,7 +12,7 @@
 import random
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from bergamotdoor.duties.usage import UsageBook
+from bergamotdoor.duties.usage import CollectedUsage
 from bergamotdoor.reporting.counting import UsageCounter, UsageCounts
 from bergamotdoor.reporting.receiver import Receipt
 from bergamotdoor.reporting.record import DutyStore
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from bergamotdoor.clock import Clock
-    from bergamotdoor.duties.tenure import DutyRecord, KnownRecord
+    from bergamotdoor.duties.lease import DutyRecord, KnownRecord
     from bergamotdoor.duties.usage import UsageReport
 
 _LEASE_S: Final = 3
@@ -221,7 +221,7 @@
                 reporter.learn(known.record, known.revision)
 
 
-class _GrowingUsage(UsageBook):
+class _GrowingUsage(CollectedUsage):
     """Usage counts that differ at each read.
 
     Two reports of one window therefore agree only if the second one repeats
@@ -238,7 +238,7 @@
         self._simulation.usage_count += 1
         return {AccountId('ant'): self._simulation.usage_count}
 
-    def missing(
+    def unfinished_entries(
         self, window: UsageWindow, since: dt.timedelta
     ) -> frozenset[NodeId]:
         """Return an entry whose counts are missing; none in some periods."""
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -52,16 +52,16 @@
 MUTATIONS: Final = (
     Mutation(
         'a duty holder acts soon after its write, or not at all',
-        'duties/tenure.py',
-        'return now - written_at < self.acting',
+        'duties/lease.py',
+        'return now - written_at < self.acting_time',
         'return now >= written_at',
         _USAGE,
     ),
     Mutation(
         'a successor waits until the previous duty holder may no longer act',
-        'duties/tenure.py',
-        'return now - known.seen_at >= self.quiet',
-        'return now >= known.seen_at',
+        'duties/lease.py',
+        'return now - known.unchanged_since >= self.takeover_delay',
+        'return now >= known.unchanged_since',
         _USAGE,
     ),
     Mutation(
@@ -73,7 +73,7 @@
     ),
     Mutation(
         'a takeover raises the fencing token',
-        'duties/tenure.py',
+        'duties/lease.py',
         'token=FencingToken(known.token + 1)',
         'token=known.token',
         _USAGE,
