--- a/bergamotdoor/agent/weights.py
+++ b/bergamotdoor/agent/weights.py
@@ -8,8 +8,8 @@
 import logging
 from typing import TYPE_CHECKING, Final
 
+from bergamotdoor.fleet.model_assignment import ModelAssignment
 from bergamotdoor.fleet.orders import LoadMode, LoadOrder
-from bergamotdoor.fleet.swap import Roster
 from bergamotdoor.objects.reader import ObjectReader
 from bergamotdoor.platform import headers as names
 from bergamotdoor.platform.engines import parse_upstream, parse_version
@@ -91,7 +91,7 @@
         #: The latest start time that the engine has reported.
         self._engine_started_at = dt.timedelta()
         self._versions_changed = asyncio.Event()
-        self._assignment = Roster((), engine.address)
+        self._assignment = ModelAssignment((), engine.address)
         self._assignment_valid_until = dt.timedelta()
 
     def reset(self, listing: Listing) -> None:
@@ -157,7 +157,7 @@
             for stored in listing.objects
         )
         engines = (upstream for upstream in found if upstream is not None)
-        self._assignment = Roster(engines, self._engine.address)
+        self._assignment = ModelAssignment(engines, self._engine.address)
         self._assignment_valid_until = now + _ENGINES_CACHE_TIME
 
     async def _load_version(self, model: ModelId) -> None:
--- a/bergamotdoor/calls/accounts.py
+++ b/bergamotdoor/calls/accounts.py
@@ -55,12 +55,12 @@
 
     Parameters
     ----------
-    held
+    accounts
         All client accounts with their keys.
     """
 
-    def __init__(self, held: Iterable[AccountKeys] = ()) -> None:
-        known = tuple(held)
+    def __init__(self, accounts: Iterable[AccountKeys] = ()) -> None:
+        known = tuple(accounts)
         #: Whether requests need a key. This is so even if no account has a
         #: key left.
         self._in_force = bool(known)
@@ -111,7 +111,7 @@
         return self._accounts.get(credentials.keys[0], Denial.UNKNOWN_KEY)
 
 
-class ProofBound(msgspec.Struct, frozen=True):
+class ManifestAgeLimit(msgspec.Struct, frozen=True):
     """Maximum age of a manifest by which requests are admitted.
 
     API keys are revoked while some entry processes are partitioned, paused or
@@ -119,7 +119,7 @@
     `revocation` after its key was revoked must not run. At admission, the time
     at which the manifest was last known to be current (its proof) is compared
     with the present. The client sent the request before the present, so a
-    proof that is younger than the bound covers the request, however long it
+    proof that is younger than the limit covers the request, however long it
     waits or is retried afterwards.
     """
 
@@ -127,7 +127,7 @@
     #: be used until the new manifest is known.
     revocation: dt.timedelta | None = None
 
-    def holds(self, proven_at: dt.timedelta, now: dt.timedelta) -> bool:
+    def is_recent(self, proven_at: dt.timedelta, now: dt.timedelta) -> bool:
         """Return whether the proof of a manifest is recent enough.
 
         Both times are measured since the machine's start, including the time
--- a/bergamotdoor/calls/tries.py
+++ b/bergamotdoor/calls/attempts.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from bergamotdoor.calls.manifest import RouteKind
-from bergamotdoor.fleet.choice import fastest
+from bergamotdoor.fleet.choice import select_upstream
 from bergamotdoor.verdict import Verdict
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
     max_attempts: int
     #: Hedge delay: time after which another upstream is tried beside one that
     #: has not answered.
-    patience: dt.timedelta
+    hedge_delay: dt.timedelta
     #: Monotonic time at which the caller stops waiting.
     deadline: dt.timedelta
 
@@ -71,7 +71,7 @@
             repeatable=is_resumable or kind is RouteKind.IDEMPOTENT,
             idempotent=kind is RouteKind.IDEMPOTENT,
             max_attempts=route.max_attempts,
-            patience=route.objective * HEDGE_SHARE,
+            hedge_delay=route.target_latency * HEDGE_SHARE,
             deadline=deadline,
         )
 
@@ -88,12 +88,12 @@
             repeatable=True,
             idempotent=True,
             max_attempts=route.max_attempts,
-            patience=max(route.objective, _MIN_SCORE_HEDGE_DELAY),
+            hedge_delay=max(route.target_latency, _MIN_SCORE_HEDGE_DELAY),
             deadline=deadline,
         )
 
 
-class Tries:
+class CallAttempts:
     """Attempts of one call at upstreams, and their outcomes.
 
     Parameters
@@ -111,13 +111,13 @@
         self._tried: set[UpstreamId] = set()
         #: Number of upstreams that crashed in a chain while they ran the
         #: call, or an earlier request with the same fingerprint.
-        self.strikes = 0
+        self.strike_count = 0
         #: Number of attempts in flight.
-        self.running = 0
+        self.in_flight = 0
         #: Number of ended attempts that may have run the call.
-        self.ran = 0
+        self.possible_runs = 0
 
-    def begin(
+    def begin_attempt(
         self, upstreams: Iterable[Upstream], loads: Loads, now: dt.timedelta
     ) -> Upstream | None:
         """Begin an attempt and return the upstream to send the call to.
@@ -136,55 +136,59 @@
         Upstream or None
             ``None`` if no attempt may begin now, or no upstream is left.
         """
-        if not self.may_begin(now):
+        if not self.may_begin_attempt(now):
             return None
         candidates = (
             one for one in upstreams if one.upstream not in self._tried
         )
-        upstream = fastest(candidates, loads, self._zone, now)
+        upstream = select_upstream(candidates, loads, self._zone, now)
         if upstream is not None:
             self._tried.add(upstream.upstream)
-            self.running += 1
+            self.in_flight += 1
         return upstream
 
-    def end(self, verdict: Verdict) -> None:
+    def end_attempt(self, verdict: Verdict) -> None:
         """Record the outcome of an attempt that has ended."""
-        self.running -= 1
+        self.in_flight -= 1
         if verdict is not Verdict.NOT_RUN:
-            self.ran += 1
+            self.possible_runs += 1
 
-    def may_begin(self, now: dt.timedelta) -> bool:
+    def may_begin_attempt(self, now: dt.timedelta) -> bool:
         """Return whether another attempt may begin."""
         rules = self._rules
-        if len(self._tried) >= _MAX_TRIES or self.out_of_time(now):
+        if len(self._tried) >= _MAX_TRIES or self.is_out_of_time(now):
             return False
-        if self.running and (self.strikes or not rules.idempotent):
+        if self.in_flight and (self.strike_count or not rules.idempotent):
             # A call that may crash upstreams runs at one of them at a time.
             return False
-        if not rules.repeatable and (self.ran or self.running):
+        if not rules.repeatable and (self.possible_runs or self.in_flight):
             return False
-        return self.ran + self.running < rules.max_attempts
+        return self.possible_runs + self.in_flight < rules.max_attempts
 
-    def patience(self, now: dt.timedelta) -> dt.timedelta:
+    def wait_time(self, now: dt.timedelta) -> dt.timedelta:
         """Return how long to wait for the attempts in flight.
 
         This is the hedge delay if another attempt may begin, but never longer
         than the time left.
         """
-        left = max(self.left(now), _NO_TIME)
-        return min(left, self._rules.patience) if self.may_begin(now) else left
+        left = max(self.time_left(now), _NO_TIME)
+        return (
+            min(left, self._rules.hedge_delay)
+            if self.may_begin_attempt(now)
+            else left
+        )
 
-    def left(self, now: dt.timedelta) -> dt.timedelta:
+    def time_left(self, now: dt.timedelta) -> dt.timedelta:
         """Return the time that is left for an upstream to answer."""
         return self._rules.deadline - now - _ANSWER_MARGIN
 
-    def out_of_time(self, now: dt.timedelta) -> bool:
+    def is_out_of_time(self, now: dt.timedelta) -> bool:
         """Return whether it is too late for an upstream to answer."""
-        return self.left(now) <= _NO_TIME
+        return self.time_left(now) <= _NO_TIME
 
     @property
     def verdict(self) -> Verdict:
         """Whether the call may have run, if no upstream answers it."""
-        if self.ran or self.running:
+        if self.possible_runs or self.in_flight:
             return Verdict.MAY_HAVE_RUN
         return Verdict.NOT_RUN
--- a/bergamotdoor/calls/fingerprint.py
+++ b/bergamotdoor/calls/fingerprint.py
@@ -7,7 +7,7 @@
 from bergamotdoor.types import Fingerprint
 
 
-def fingerprint(
+def request_fingerprint(
     action: str, host: str, target: str, body: bytes
 ) -> Fingerprint:
     """Return a hash that is the same for every repetition of a request.
@@ -27,7 +27,8 @@
 
     Examples
     --------
-    >>> fingerprint('GET', 'a', '/b', b'') == fingerprint('GET', 'a', '/c', b'')
+    >>> first = request_fingerprint('GET', 'a', '/b', b'')
+    >>> first == request_fingerprint('GET', 'a', '/c', b'')
     False
     """
     digest = xxhash.xxh3_128()
--- a/bergamotdoor/calls/manifest.py
+++ b/bergamotdoor/calls/manifest.py
@@ -52,16 +52,16 @@
     shares: tuple[Share, ...]
     timeout: dt.timedelta
     #: Target latency; a response within it is worth most to the caller.
-    objective: dt.timedelta
+    target_latency: dt.timedelta
     #: Maximum number of attempts for one request, each at another upstream.
     max_attempts: int = 1
     #: Whether another upstream can continue an interrupted stream.
     resumable: bool = False
     #: Batch jobs: time from the first submission until the results are due.
-    due: dt.timedelta = dt.timedelta()
+    due_after: dt.timedelta = dt.timedelta()
     #: Batch jobs: time after which unfinished items may be abandoned;
     #: ``None`` if they must not be.
-    give_up: dt.timedelta | None = None
+    abandon_after: dt.timedelta | None = None
     #: Batch jobs: whether one version of the weights must generate the whole
     #: text of an item.
     single_version: bool = False
--- a/bergamotdoor/entry/views.py
+++ b/bergamotdoor/entry/views.py
@@ -187,7 +187,7 @@
             # since its own next registration adds it again.
             self._fleet.remove(RegistrationId(stored.name))
             return
-        known = self._fleet.registered(upstream.registration)
+        known = self._fleet.find_registered(upstream.registration)
         if known is None or _logged_fields(known) != _logged_fields(upstream):
             _log.info(
                 'gateway: upstream %s of %s at %s:%d, draining: %s',
@@ -208,7 +208,7 @@
                 'kept for a grace period',
                 name,
             )
-            self._fleet.lapse(name, failed_at + _REREGISTRATION_GRACE)
+            self._fleet.keep_missing(name, failed_at + _REREGISTRATION_GRACE)
             return
         _log.info('gateway: upstream %s is gone', name)
         self._fleet.remove(name)
--- a/bergamotdoor/fleet/choice.py
+++ b/bergamotdoor/fleet/choice.py
@@ -26,7 +26,7 @@
 _DEFAULT_LATENCY_S: Final = 0.03
 
 
-def fastest(
+def select_upstream(
     candidates: Iterable[Upstream],
     loads: Loads,
     zone: ZoneId,
@@ -61,7 +61,9 @@
     )
     preferred = [one for one in ranked if one.upstream not in avoid]
     available = [
-        one for one in preferred if not loads.of(one.upstream).resting(now)
+        one
+        for one in preferred
+        if not loads.of(one.upstream).is_in_backoff(now)
     ]
     return next(iter(available or preferred or ranked), None)
 
@@ -71,7 +73,7 @@
 ) -> float:
     """Return the expected latency in seconds, with the zone's factor."""
     load = loads.of(upstream.upstream)
-    utilization = (load.busy(now) + 1) / upstream.slots
+    utilization = (load.estimated_requests(now) + 1) / upstream.slots
     latency_s = load.latency_s or _DEFAULT_LATENCY_S
     zone_factor = 1 if upstream.zone == zone else _CROSS_ZONE_FACTOR
     return latency_s * zone_factor * (1 + utilization)
--- a/bergamotdoor/fleet/fleet.py
+++ b/bergamotdoor/fleet/fleet.py
@@ -29,15 +29,15 @@
 
     Parameters
     ----------
-    forget
+    on_removal
         Callbacks, each called with the id of every incarnation that is
         removed, so that state kept for it elsewhere can be dropped.
     """
 
     def __init__(
-        self, forget: Iterable[Callable[[UpstreamId], None]] = ()
+        self, on_removal: Iterable[Callable[[UpstreamId], None]] = ()
     ) -> None:
-        self._removal_callbacks = tuple(forget)
+        self._removal_callbacks = tuple(on_removal)
         self._upstreams: dict[UpstreamId, Upstream] = {}
         #: The current incarnation under each registered name.
         self._incarnations: dict[RegistrationId, UpstreamId] = {}
@@ -83,7 +83,7 @@
         if current is not None:
             self._drop_incarnation(current)
 
-    def replaced(self, upstream: UpstreamId) -> None:
+    def remove_replaced(self, upstream: UpstreamId) -> None:
         """Remove an incarnation whose address is used by another upstream.
 
         Its registration stays in the store until it expires seconds later,
@@ -95,7 +95,7 @@
             self.remove(found.registration)
             self._replaced[found.registration] = upstream
 
-    def lapse(self, name: RegistrationId, until: dt.timedelta) -> None:
+    def keep_missing(self, name: RegistrationId, until: dt.timedelta) -> None:
         """Keep an upstream for a while although its registration is missing.
 
         Failure: registrations expire while the store is unavailable.
@@ -115,7 +115,7 @@
         if name in self._incarnations:
             self._lapsed_until.setdefault(name, until)
 
-    def expire(self, now: dt.timedelta) -> None:
+    def remove_expired(self, now: dt.timedelta) -> None:
         """Remove upstreams that did not register again before the deadline.
 
         Parameters
@@ -134,7 +134,7 @@
         listed = frozenset(present)
         return tuple(name for name in self._incarnations if name not in listed)
 
-    def registered(self, name: RegistrationId) -> Upstream | None:
+    def find_registered(self, name: RegistrationId) -> Upstream | None:
         """Return the upstream under a name, ``None`` if there is none."""
         current = self._incarnations.get(name)
         return None if current is None else self._upstreams[current]
@@ -159,15 +159,15 @@
         """Return the known version of a model at an engine, 0 if unknown."""
         return self._versions.get((upstream, model), WeightVersion(0))
 
-    def loaded(
+    def record_version_at(
         self, address: Address, model: ModelId, version: WeightVersion
     ) -> None:
         """Record the version that the engine at an address has loaded."""
         for upstream in self._upstreams.values():
             if upstream.address == address:
-                self.saw(upstream.upstream, model, version)
+                self.record_version(upstream.upstream, model, version)
 
-    def saw(
+    def record_version(
         self, upstream: UpstreamId, model: ModelId, version: WeightVersion
     ) -> None:
         """Record the version that an engine stated in a response."""
--- a/bergamotdoor/fleet/loads.py
+++ b/bergamotdoor/fleet/loads.py
@@ -20,14 +20,14 @@
 #: Backoff after a refusal. The upstream is full or loads weights, which takes
 #: about a second; more frequent retries cost connections and gain nothing.
 _REFUSAL_BACKOFF_MS: Final = 300
-REFUSAL_REST: Final = dt.timedelta(milliseconds=_REFUSAL_BACKOFF_MS)
+REFUSAL_BACKOFF: Final = dt.timedelta(milliseconds=_REFUSAL_BACKOFF_MS)
 #: Time for which a single probe request is sent to an upstream that refused
 #: before. Its response shows whether other requests may follow.
 _PROBE_TIME_MS: Final = 250
 PROBE_TIME: Final = dt.timedelta(milliseconds=_PROBE_TIME_MS)
 #: Backoff after a broken or failed request; doubled by each consecutive one.
 _FAILURE_BACKOFF_MS: Final = 500
-FAILURE_REST: Final = dt.timedelta(milliseconds=_FAILURE_BACKOFF_MS)
+FAILURE_BACKOFF: Final = dt.timedelta(milliseconds=_FAILURE_BACKOFF_MS)
 _MAX_BACKOFF_DOUBLINGS: Final = 4
 #: Age from which an upstream's report of its load is disregarded.
 _MAX_REPORT_AGE: Final = dt.timedelta(seconds=2)
@@ -37,7 +37,7 @@
 _ZERO: Final = dt.timedelta()
 
 
-class ToldLoad(msgspec.Struct, frozen=True):
+class ReportedLoad(msgspec.Struct, frozen=True):
     """An upstream's load, as it reports it in a response."""
 
     #: Number of requests that it runs, and that wait in its queue.
@@ -54,7 +54,7 @@
         #: Requests of this process that are in flight.
         self.in_flight = 0
         #: Slots that are reserved for items that move to this upstream.
-        self.kept = 0
+        self.reserved_slots = 0
         #: Moving average of its latency in seconds; 0 while unmeasured.
         self.latency_s = float()
         #: Requests of other processes, as of the upstream's last report.
@@ -66,34 +66,34 @@
         #: Refusals since the last accepted request.
         self._refusals = 0
 
-    def enter(self) -> None:
+    def begin_request(self) -> None:
         """Count a request as in flight; called before it is sent."""
         self.in_flight += 1
 
-    def leave(self) -> None:
+    def end_request(self) -> None:
         """Stop counting a request as in flight, whatever its outcome."""
         self.in_flight -= 1
 
-    def told(self, busy: int, now: dt.timedelta) -> None:
+    def record_report(self, reported_requests: int, now: dt.timedelta) -> None:
         """Record a load report of the upstream.
 
         Parameters
         ----------
-        busy
+        reported_requests
             Number of requests that it runs or keeps in its queue, those of
             this process included.
         now
             The monotonic time.
         """
-        self._reported_others = max(busy - self.in_flight, 0)
+        self._reported_others = max(reported_requests - self.in_flight, 0)
         self._reported_at = now
 
-    def refused(self, now: dt.timedelta) -> None:
+    def record_refusal(self, now: dt.timedelta) -> None:
         """Record that the upstream refused a request, and begin a backoff."""
         self._refusals += 1
-        self._backoff_until = max(self._backoff_until, now + REFUSAL_REST)
+        self._backoff_until = max(self._backoff_until, now + REFUSAL_BACKOFF)
 
-    def placed(self, now: dt.timedelta) -> None:
+    def record_sent(self, now: dt.timedelta) -> None:
         """Record that a request is sent to the upstream.
 
         Failure: an upstream loads weights and refuses all requests for a
@@ -104,7 +104,7 @@
         if self._refusals:
             self._backoff_until = now + PROBE_TIME
 
-    def accepted(self, now: dt.timedelta) -> None:
+    def record_acceptance(self, now: dt.timedelta) -> None:
         """Record that the upstream runs a request.
 
         This ends the backoff that follows a refusal.
@@ -113,7 +113,7 @@
             self._refusals = 0
             self._backoff_until = min(self._backoff_until, now)
 
-    def failed(self, now: dt.timedelta) -> None:
+    def record_failure(self, now: dt.timedelta) -> None:
         """Record a broken or failed request, and begin a backoff.
 
         Requests that break at the same time, for instance when a link is
@@ -121,39 +121,43 @@
         healthy upstream in backoff for seconds, and all other upstreams with
         it.
         """
-        if self.resting(now):
+        if self.is_in_backoff(now):
             return
         doublings = min(self._failures, _MAX_BACKOFF_DOUBLINGS)
         self._failures += 1
-        backoff = FAILURE_REST * (1 << doublings)
+        backoff = FAILURE_BACKOFF * (1 << doublings)
         self._backoff_until = max(self._backoff_until, now + backoff)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record that the upstream ran a request to its end."""
         self._refusals = 0
         self._failures = 0
 
-    def answered(self, latency: dt.timedelta) -> None:
+    def record_response(self, latency: dt.timedelta) -> None:
         """Record a successful response and its latency."""
-        self.succeeded()
+        self.record_success()
         seconds = latency.total_seconds()
         if self.latency_s:
             self.latency_s += _LATENCY_SMOOTHING * (seconds - self.latency_s)
         else:
             self.latency_s = seconds
 
-    def resting(self, now: dt.timedelta) -> bool:
+    def is_in_backoff(self, now: dt.timedelta) -> bool:
         """Return whether the upstream is in backoff."""
         return now < self._backoff_until
 
-    def busy(self, now: dt.timedelta) -> int:
+    def estimated_requests(self, now: dt.timedelta) -> int:
         """Return the estimated number of requests at the upstream.
 
         Reserved slots count as requests.
         """
-        return self.in_flight + self.kept + self.others(now)
+        return (
+            self.in_flight
+            + self.reserved_slots
+            + self.estimated_other_requests(now)
+        )
 
-    def others(self, now: dt.timedelta) -> int:
+    def estimated_other_requests(self, now: dt.timedelta) -> int:
         """Return the estimated number of requests of other processes."""
         return (
             self._reported_others
--- a/bergamotdoor/fleet/swap.py
+++ b/bergamotdoor/fleet/model_assignment.py
@@ -25,9 +25,9 @@
     from bergamotdoor.settings.document import Address
     from bergamotdoor.types import ModelId
 
-#: Number of a model's engines that load together without slowing each other
-#: down.
-AT_ONCE: Final = 2
+#: Minimum number of a model's engines that load together. So few do not slow
+#: each other down.
+MIN_CONCURRENT_LOADS: Final = 2
 #: Duration of one load.
 _LOAD_TIME_MS: Final = 950
 LOAD_TIME: Final = dt.timedelta(milliseconds=_LOAD_TIME_MS)
@@ -36,28 +36,31 @@
 #: step's burst is over after a second, since most items have some twenty
 #: events of 40 ms.
 _BURST_S: Final = 1
-BURST: Final = dt.timedelta(seconds=_BURST_S)
+BURST_DURATION: Final = dt.timedelta(seconds=_BURST_S)
 #: Time within which all engines of a model load a version, however many they
 #: are. All of them must have it within 26 s, and a lost order is sent again.
 _TOTAL_LOAD_TIME_S: Final = 20
-ROLLOUT_TIME: Final = dt.timedelta(seconds=_TOTAL_LOAD_TIME_S)
+TOTAL_LOAD_TIME: Final = dt.timedelta(seconds=_TOTAL_LOAD_TIME_S)
 
 
-class Roster:
+class ModelAssignment:
     """Assignment of models to the engines of one service.
 
     Parameters
     ----------
-    engines
+    upstreams
         All registered upstreams. Those of other services are ignored.
-    own
+    own_address
         Address of this agent's own engine. It selects the service.
     """
 
-    def __init__(self, engines: Iterable[Upstream], own: Address) -> None:
-        registered = tuple(engines)
+    def __init__(
+        self, upstreams: Iterable[Upstream], own_address: Address
+    ) -> None:
+        registered = tuple(upstreams)
         service = next(
-            (one.service for one in registered if one.address == own), None
+            (one.service for one in registered if one.address == own_address),
+            None,
         )
         members = [one for one in registered if one.service == service]
         self._models = sorted(
@@ -66,7 +69,7 @@
         self._addresses = sorted(
             {(one.address.ip, one.address.port) for one in members}
         )
-        self._own_address = own
+        self._own_address = own_address
 
     def models(self) -> frozenset[ModelId]:
         """Return the models whose versions the own engine loads.
@@ -106,9 +109,12 @@
         if not self._is_registered or self._own_index not in indexes:
             return dt.timedelta()
         # 4 of 78 engines load at a time, so that all have the version in time.
-        concurrent = max(AT_ONCE, -(-len(indexes) * LOAD_TIME // ROLLOUT_TIME))
+        concurrent = max(
+            MIN_CONCURRENT_LOADS,
+            -(-len(indexes) * LOAD_TIME // TOTAL_LOAD_TIME),
+        )
         turn = indexes.index(self._own_index) // concurrent
-        return BURST + turn * LOAD_TIME
+        return BURST_DURATION + turn * LOAD_TIME
 
     @property
     def _is_registered(self) -> bool:
--- a/bergamotdoor/fleet/quarantine.py
+++ b/bergamotdoor/fleet/quarantine.py
@@ -29,12 +29,12 @@
 #: Number of strikes from which a call is quarantined. A service of three
 #: upstreams keeps one of them, and a caller waits for only a few hundred
 #: milliseconds.
-CALL_STRIKES: Final = 2
+CALL_STRIKE_LIMIT: Final = 2
 #: Number of strikes from which an item of a batch job is quarantined. It is
 #: higher than for calls, since a dozen other items run beside each item. Those
 #: that were sent on together with the item at fault have as many strikes as
 #: that item, and only the next crash distinguishes them.
-ITEM_STRIKES: Final = 3
+ITEM_STRIKE_LIMIT: Final = 3
 #: Duration of the quarantine from the first crash that reaches the threshold,
 #: and from each further one. The first is long enough for upstreams to start
 #: again, so that the request never crashes the last ones, and short because
@@ -73,7 +73,7 @@
 
     def __init__(self) -> None:
         #: The strikes of each crashed upstream, in the order of arrival.
-        self._ended: dict[UpstreamId, dict[Fingerprint, Strike]] = {}
+        self._by_upstream: dict[UpstreamId, dict[Fingerprint, Strike]] = {}
         #: The strikes of each request that no upstream has answered since.
         self._by_request: dict[Fingerprint, dict[UpstreamId, Strike]] = {}
         #: Monotonic time at which the last strike of a request was added.
@@ -85,7 +85,7 @@
 
     def __iter__(self) -> Iterator[Strike]:
         """Return the strikes that count, the last added ones first."""
-        for upstream, at_upstream in reversed(self._ended.items()):
+        for upstream, at_upstream in reversed(self._by_upstream.items()):
             for fingerprint, strike in at_upstream.items():
                 if upstream in self._by_request.get(fingerprint, ()):
                     yield strike
@@ -105,15 +105,15 @@
         bool
             Whether the strike was not known.
         """
-        at_upstream = self._ended.setdefault(strike.upstream, {})
+        at_upstream = self._by_upstream.setdefault(strike.upstream, {})
         if strike.fingerprint in at_upstream:
             return False
         at_upstream[strike.fingerprint] = strike
         of_request = self._by_request.setdefault(strike.fingerprint, {})
         of_request[strike.upstream] = strike
         self._last_added_at[strike.fingerprint] = now
-        if len(self._ended) > _MAX_CRASHED_UPSTREAMS:
-            self._evict_upstream(next(iter(self._ended)))
+        if len(self._by_upstream) > _MAX_CRASHED_UPSTREAMS:
+            self._evict_upstream(next(iter(self._by_upstream)))
         return True
 
     def next_strike(
@@ -143,7 +143,7 @@
             The monotonic time.
         """
         last_added_at = self._last_added_at.get(fingerprint)
-        strikes = self.strikes(fingerprint)
+        strikes = self.count_strikes(fingerprint)
         has_common_cause = (
             last_added_at is not None
             and now - last_added_at < _COMMON_CAUSE_TIME
@@ -151,12 +151,12 @@
         number = max(strikes, 1) if has_common_cause else strikes + 1
         return Strike(fingerprint, upstream, before, number)
 
-    def completed(self, fingerprint: Fingerprint) -> None:
+    def clear_strikes(self, fingerprint: Fingerprint) -> None:
         """Clear a request's strikes after an upstream has answered it."""
         self._by_request.pop(fingerprint, None)
         self._last_added_at.pop(fingerprint, None)
 
-    def strikes(self, fingerprint: Fingerprint) -> int:
+    def count_strikes(self, fingerprint: Fingerprint) -> int:
         """Return a request's number of strikes: the length of its chain.
 
         Upstreams that crash at the same time count as one: a common cause is
@@ -177,8 +177,8 @@
         beside_longer_chains = len(of_request) - len(chain_lengths)
         return max(0, beside_longer_chains - 1, *chain_lengths)
 
-    def rest(
-        self, fingerprint: Fingerprint, least: int, now: dt.timedelta
+    def remaining_time(
+        self, fingerprint: Fingerprint, min_strikes: int, now: dt.timedelta
     ) -> dt.timedelta:
         """Return how much longer a request is quarantined.
 
@@ -186,7 +186,7 @@
         ----------
         fingerprint
             The request.
-        least
+        min_strikes
             Number of strikes from which it is quarantined.
         now
             The monotonic time.
@@ -196,18 +196,18 @@
         datetime.timedelta
             Zero if the request may be sent.
         """
-        excess = self.strikes(fingerprint) - least
+        excess = self.count_strikes(fingerprint) - min_strikes
         if excess < 0:
             return _NO_TIME
         duration = _QUARANTINE_TIMES[min(excess, len(_QUARANTINE_TIMES) - 1)]
         return max(self._last_added_at[fingerprint] + duration - now, _NO_TIME)
 
-    def suspected(self) -> Iterator[Fingerprint]:
+    def suspected_requests(self) -> Iterator[Fingerprint]:
         """Return the requests that have more than one strike."""
         return (
             fingerprint
             for fingerprint in self._by_request
-            if self.strikes(fingerprint) > 1
+            if self.count_strikes(fingerprint) > 1
         )
 
     def _has_longest_chain(self, strike: Strike) -> bool:
@@ -218,25 +218,27 @@
         well. Symptom: a harmless request is quarantined. The harmless request
         has the shorter chain, so this crash does not count against it.
         """
-        at_upstream = self._ended[strike.upstream].values()
+        at_upstream = self._by_upstream[strike.upstream].values()
         return all(strike.before >= other.before for other in at_upstream)
 
     def _evict_upstream(self, upstream: UpstreamId) -> None:
-        for fingerprint in self._ended.pop(upstream):
+        for fingerprint in self._by_upstream.pop(upstream):
             of_request = self._by_request.get(fingerprint, {})
             of_request.pop(upstream, None)
             if not of_request:
-                self.completed(fingerprint)
+                self.clear_strikes(fingerprint)
 
 
-def newest(strikes: Iterable[Strike], most: int) -> tuple[Strike, ...]:
+def newest_strikes(
+    strikes: Iterable[Strike], max_count: int
+) -> tuple[Strike, ...]:
     """Return the strikes that were added last.
 
     Parameters
     ----------
     strikes
         Strikes in the order of a :class:`Quarantine`, the newest first.
-    most
+    max_count
         Maximum number of strikes to return.
     """
-    return tuple(strike for _, strike in zip(range(most), strikes))
+    return tuple(strike for _, strike in zip(range(max_count), strikes))
--- a/bergamotdoor/fleet/upstreams.py
+++ b/bergamotdoor/fleet/upstreams.py
@@ -34,7 +34,7 @@
     draining: bool = False
     #: Remaining time for which it is slow after its start, as of its
     #: registration.
-    cold: dt.timedelta = dt.timedelta()
+    warmup_left: dt.timedelta = dt.timedelta()
     #: The version of each model that it serves; empty for a plain service.
     versions: dict[ModelId, WeightVersion] = {}
     #: Time of its start since the Unix epoch, as the upstream states it; zero
@@ -42,7 +42,7 @@
     started: dt.timedelta = dt.timedelta()
 
 
-def incarnation(
+def incarnation_id(
     registration: RegistrationId, started: dt.timedelta
 ) -> UpstreamId:
     """Return the id of one incarnation of an upstream.
--- a/bergamotdoor/forwarding/attempt.py
+++ b/bergamotdoor/forwarding/attempt.py
@@ -81,7 +81,9 @@
     reported = names.parse_load(response.headers.first(names.LOAD))
     if reported is not None:
         load = context.loads.of(upstream.upstream)
-        load.told(reported.running + reported.waiting, context.clock.elapsed())
+        load.record_report(
+            reported.running + reported.waiting, context.clock.elapsed()
+        )
     return await judge(context, call, upstream, response)
 
 
@@ -95,17 +97,17 @@
     load = context.loads.of(upstream.upstream)
     now = context.clock.elapsed()
     if attempt.replaced:
-        context.fleet.replaced(upstream.upstream)
+        context.fleet.remove_replaced(upstream.upstream)
     elif attempt.failed:
         _record_failure(load, attempt, now)
     else:
-        load.answered(latency)
+        load.record_response(latency)
 
 
 def _record_failure(
     load: UpstreamLoad, attempt: Attempt, now: dt.timedelta
 ) -> None:
     if attempt.refused:
-        load.refused(now)
+        load.record_refusal(now)
     else:
-        load.failed(now)
+        load.record_failure(now)
--- a/bergamotdoor/forwarding/call.py
+++ b/bergamotdoor/forwarding/call.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from bergamotdoor.calls.fingerprint import fingerprint
+from bergamotdoor.calls.attempts import CallRules
+from bergamotdoor.calls.fingerprint import request_fingerprint
 from bergamotdoor.calls.manifest import Route
-from bergamotdoor.calls.tries import CallRules
 from bergamotdoor.http.messages import Headers, HttpResponse
 from bergamotdoor.verdict import Verdict
 
@@ -38,7 +38,7 @@
     def fingerprint(self) -> Fingerprint:
         """Hash that is the same for all retries of the call."""
         host = self.headers.first('host')
-        return fingerprint(self.method, host, self.target, self.body)
+        return request_fingerprint(self.method, host, self.target, self.body)
 
 
 class Attempt(msgspec.Struct, frozen=True):
--- a/bergamotdoor/forwarding/counted.py
+++ b/bergamotdoor/forwarding/counted.py
@@ -32,7 +32,7 @@
     work
         The coroutine that sends the request.
     """
-    load.enter()
+    load.begin_request()
     task = asyncio.create_task(work)
-    task.add_done_callback(lambda _: load.leave())
+    task.add_done_callback(lambda _: load.end_request())
     return task
--- a/bergamotdoor/forwarding/forwarder.py
+++ b/bergamotdoor/forwarding/forwarder.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from bergamotdoor import utils
+from bergamotdoor.calls.attempts import CallAttempts
 from bergamotdoor.calls.manifest import RouteKind, pick_service
-from bergamotdoor.calls.tries import Tries
-from bergamotdoor.fleet.quarantine import CALL_STRIKES
+from bergamotdoor.fleet.quarantine import CALL_STRIKE_LIMIT
 from bergamotdoor.forwarding.attempt import send_call
 from bergamotdoor.forwarding.call import Attempt, Call
 from bergamotdoor.forwarding.counted import start_counted
@@ -60,7 +60,7 @@
         )
         self._count_call(outcome, service, latency)
         if outcome.served and self._context.quarantine:
-            self._context.quarantine.completed(call.fingerprint)
+            self._context.quarantine.clear_strikes(call.fingerprint)
         return outcome
 
     def _count_call(
@@ -85,7 +85,7 @@
         self._context = context
         self._call = call
         self._service = service
-        self._attempts = Tries(call.rules, context.settings.zone)
+        self._attempts = CallAttempts(call.rules, context.settings.zone)
         #: Attempts in flight, with the monotonic time of their beginning.
         self._in_flight: dict[asyncio.Task[Attempt], dt.timedelta] = {}
         #: Number of upstreams that ran the call and responded that it failed.
@@ -111,7 +111,7 @@
                 if not attempt.failed:
                     return attempt
                 self._record_attempt(attempt)
-            if self._attempts.out_of_time(self._now()):
+            if self._attempts.is_out_of_time(self._now()):
                 return Attempt(self._attempts.verdict, 'out of time')
         return self._final_attempt()
 
@@ -121,11 +121,13 @@
             return False
         upstreams = self._context.fleet.of_service(self._service)
         now = self._now()
-        upstream = self._attempts.begin(upstreams, self._context.loads, now)
+        upstream = self._attempts.begin_attempt(
+            upstreams, self._context.loads, now
+        )
         if upstream is None:
             return False
         work = send_call(
-            self._context, self._call, upstream, self._attempts.left(now)
+            self._context, self._call, upstream, self._attempts.time_left(now)
         )
         # The attempt counts in the load before its task begins. Otherwise
         # calls that start together would all choose the same upstream.
@@ -150,12 +152,14 @@
         if not quarantine:
             return _NO_TIME
         fingerprint = self._call.fingerprint
-        self._attempts.strikes = quarantine.strikes(fingerprint)
-        return quarantine.rest(fingerprint, CALL_STRIKES, self._now())
+        self._attempts.strike_count = quarantine.count_strikes(fingerprint)
+        return quarantine.remaining_time(
+            fingerprint, CALL_STRIKE_LIMIT, self._now()
+        )
 
     async def _wait_for_attempts(self) -> list[Attempt]:
         """Return the attempts that ended; empty after a timeout."""
-        wait_time = self._attempts.patience(self._now())
+        wait_time = self._attempts.wait_time(self._now())
         done, _ = await asyncio.wait(
             self._in_flight,
             timeout=wait_time.total_seconds(),
@@ -170,7 +174,7 @@
         return attempts
 
     def _record_attempt(self, attempt: Attempt) -> None:
-        self._attempts.end(attempt.verdict)
+        self._attempts.end_attempt(attempt.verdict)
         self._failures += attempt.failures
         if attempt.answer is not None or self._last_attempt.answer is None:
             self._last_attempt = attempt
@@ -183,14 +187,14 @@
         retry_after = self._quarantine_time()
         if retry_after and self._last_attempt.answer is None:
             self._context.metrics.count(Counted.CALL_QUARANTINED, self._service)
-            strikes = self._attempts.strikes
+            strikes = self._attempts.strike_count
             return Attempt(
                 self._attempts.verdict,
                 f'in quarantine, {strikes} upstreams ended under it',
                 self._last_attempt.upstream,
                 retry_after=retry_after,
             )
-        if self._last_attempt.answer is None and self._attempts.ran:
+        if self._last_attempt.answer is None and self._attempts.possible_runs:
             return Attempt(
                 Verdict.MAY_HAVE_RUN,
                 self._last_attempt.detail,
--- a/bergamotdoor/forwarding/relayed_stream.py
+++ b/bergamotdoor/forwarding/relayed_stream.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from bergamotdoor.fleet.choice import fastest
-from bergamotdoor.fleet.quarantine import CALL_STRIKES
+from bergamotdoor.fleet.choice import select_upstream
+from bergamotdoor.fleet.quarantine import CALL_STRIKE_LIMIT
 from bergamotdoor.forwarding.call_request import call_request
 from bergamotdoor.forwarding.upstream_end import note_end, strikes_of
 from bergamotdoor.http import close_body
@@ -63,7 +63,7 @@
     async with contextlib.aclosing(pieces) as relayed:
         async for piece in relayed:
             yield piece
-    context.quarantine.completed(call.fingerprint)
+    context.quarantine.clear_strikes(call.fingerprint)
 
 
 async def _relay_unresumable(
@@ -142,7 +142,9 @@
         now = self._context.clock.elapsed()
         fingerprint = self._call.fingerprint
         return bool(
-            self._context.quarantine.rest(fingerprint, CALL_STRIKES, now)
+            self._context.quarantine.remaining_time(
+                fingerprint, CALL_STRIKE_LIMIT, now
+            )
         )
 
     async def _next_response(self, error: Exception) -> ClientResponse:
@@ -184,7 +186,7 @@
             for upstream in self._context.fleet.of_service(service)
             if upstream.upstream not in used
         ]
-        return fastest(
+        return select_upstream(
             candidates,
             self._context.loads,
             self._context.settings.zone,
--- a/bergamotdoor/forwarding/upstream_end.py
+++ b/bergamotdoor/forwarding/upstream_end.py
@@ -19,7 +19,7 @@
 def strikes_of(context: Context, call: Call) -> int:
     """Return how many upstreams crashed in turn while they ran a call."""
     quarantine = context.quarantine
-    return quarantine.strikes(call.fingerprint) if quarantine else 0
+    return quarantine.count_strikes(call.fingerprint) if quarantine else 0
 
 
 async def note_end(
@@ -61,11 +61,11 @@
         upstream.upstream,
         fingerprint,
         before,
-        context.quarantine.strikes(fingerprint),
+        context.quarantine.count_strikes(fingerprint),
     )
 
 
 def _is_leaving(context: Context, upstream: Upstream) -> bool:
     """Return whether an upstream is draining or has left already."""
-    known = context.fleet.registered(upstream.registration)
+    known = context.fleet.find_registered(upstream.registration)
     return known is None or known.draining
--- a/bergamotdoor/gateway/admission.py
+++ b/bergamotdoor/gateway/admission.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, Final
 
-from bergamotdoor.calls.accounts import NO_ACCOUNT, Denial, ProofBound
+from bergamotdoor.calls.accounts import NO_ACCOUNT, Denial, ManifestAgeLimit
 from bergamotdoor.calls.manifest import RouteKind
 from bergamotdoor.gateway.credentials import credentials_of
 from bergamotdoor.gateway.refusals import job_retry_s, plain, refusal
@@ -44,7 +44,7 @@
     def __init__(self, context: Context, manifests: ManifestView) -> None:
         self._context = context
         self._manifests = manifests
-        self._proof_bound = ProofBound(context.settings.revocation)
+        self._manifest_age_limit = ManifestAgeLimit(context.settings.revocation)
 
     def reader(
         self, request: HttpRequest, manifest: Manifest
@@ -126,4 +126,6 @@
     def _is_proven(self) -> bool:
         proven_at = self._manifests.proven_at
         now = self._context.clock.uptime()
-        return proven_at is not None and self._proof_bound.holds(proven_at, now)
+        return proven_at is not None and self._manifest_age_limit.is_recent(
+            proven_at, now
+        )
--- a/bergamotdoor/gateway/call_front.py
+++ b/bergamotdoor/gateway/call_front.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from bergamotdoor import utils
-from bergamotdoor.calls.tries import CallRules
+from bergamotdoor.calls.attempts import CallRules
 from bergamotdoor.forwarding import Call, Forwarder
 from bergamotdoor.gateway.batch_front import number_of
 from bergamotdoor.gateway.refusals import refusal
--- a/bergamotdoor/gateway/daemon.py
+++ b/bergamotdoor/gateway/daemon.py
@@ -219,4 +219,4 @@
     async def _expire_upstreams(self) -> None:
         while True:
             await self._clock.sleep(_EXPIRY_INTERVAL)
-            self._context.fleet.expire(self._clock.elapsed())
+            self._context.fleet.remove_expired(self._clock.elapsed())
--- a/bergamotdoor/gateway/inspection.py
+++ b/bergamotdoor/gateway/inspection.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from bergamotdoor.fleet.quarantine import CALL_STRIKES
+from bergamotdoor.fleet.quarantine import CALL_STRIKE_LIMIT
 from bergamotdoor.gateway.refusals import plain
 from bergamotdoor.http.messages import Headers, HttpResponse
 from bergamotdoor.observe.call_counts import StoreCalls
@@ -165,10 +165,12 @@
         states = [
             QuarantinedState(
                 fingerprint,
-                quarantine.strikes(fingerprint),
-                quarantine.rest(fingerprint, CALL_STRIKES, now).total_seconds(),
+                quarantine.count_strikes(fingerprint),
+                quarantine.remaining_time(
+                    fingerprint, CALL_STRIKE_LIMIT, now
+                ).total_seconds(),
             )
-            for fingerprint in quarantine.suspected()
+            for fingerprint in quarantine.suspected_requests()
         ]
         return sorted(states, key=lambda state: state.rest_s, reverse=True)
 
@@ -184,8 +186,8 @@
                     upstream.service,
                     upstream.draining,
                     load.in_flight,
-                    load.busy(now),
-                    load.resting(now),
+                    load.estimated_requests(now),
+                    load.is_in_backoff(now),
                     self._context.speeds.interval_s(name),
                     {
                         model: self._context.fleet.version(name, model)
--- a/bergamotdoor/jobs/placement.py
+++ b/bergamotdoor/jobs/placement.py
@@ -77,15 +77,21 @@
     now: dt.timedelta,
 ) -> bool:
     """Return whether an engine has at most one request above the minimum."""
-    minimum = min(loads.of(one.upstream).busy(now) for one in free)
-    return loads.of(engine.upstream).busy(now) <= minimum + 1
+    minimum = min(
+        loads.of(one.upstream).estimated_requests(now) for one in free
+    )
+    return loads.of(engine.upstream).estimated_requests(now) <= minimum + 1
 
 
 def free_slots(upstream: Upstream, loads: Loads, now: dt.timedelta) -> int:
     """Return how many more items may be sent to an engine now."""
     load = loads.of(upstream.upstream)
-    return 0 if load.resting(now) else upstream.slots - load.busy(now)
+    return (
+        0
+        if load.is_in_backoff(now)
+        else upstream.slots - load.estimated_requests(now)
+    )
 
 
 def _load_ratio(upstream: Upstream, loads: Loads, now: dt.timedelta) -> float:
-    return loads.of(upstream.upstream).busy(now) / upstream.slots
+    return loads.of(upstream.upstream).estimated_requests(now) / upstream.slots
--- a/bergamotdoor/jobs/reservations.py
+++ b/bergamotdoor/jobs/reservations.py
@@ -51,7 +51,7 @@
         """Reserve a slot for an item, in place of an earlier reservation."""
         self.take(item)
         self._reservations[item] = _Reservation(upstream, now + KEPT)
-        self._loads.of(upstream).kept += 1
+        self._loads.of(upstream).reserved_slots += 1
 
     def take(self, item: ItemId) -> UpstreamId | None:
         """Remove the reservation of an item and return its engine, if any."""
@@ -61,7 +61,7 @@
         load = self._loads.of(found.upstream)
         # If the engine was forgotten after the reservation, its load is a
         # new one without reserved slots.
-        load.kept = max(load.kept - 1, 0)
+        load.reserved_slots = max(load.reserved_slots - 1, 0)
         return found.upstream
 
     def expire(self, now: dt.timedelta) -> None:
--- a/bergamotdoor/jobs/scoring.py
+++ b/bergamotdoor/jobs/scoring.py
@@ -36,8 +36,8 @@
 
 #: Share of an upstream's slots that score calls leave to callers.
 _CALLERS_SHARE: Final = 0.25
-#: Score calls that are sent even if all upstreams are full or rest after a
-#: failure: their answers show when a service accepts calls again.
+#: Score calls that are sent even if all upstreams are full, or in backoff after
+#: a failure: their answers show when a service accepts calls again.
 _PROBE_CALLS: Final = 1
 #: Pauses before a score call is sent again, by the number of calls of the
 #: text that gave no score. The first equals the tick at which an owner checks
@@ -224,7 +224,9 @@
     upstream: Upstream, loads: Loads, now: dt.timedelta
 ) -> int:
     load = loads.of(upstream.upstream)
-    if load.resting(now):
+    if load.is_in_backoff(now):
         return 0
     for_callers = math.ceil(upstream.slots * _CALLERS_SHARE)
-    return max(upstream.slots - for_callers - load.others(now), 0)
+    return max(
+        upstream.slots - for_callers - load.estimated_other_requests(now), 0
+    )
--- a/bergamotdoor/peers/strike_sharing.py
+++ b/bergamotdoor/peers/strike_sharing.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from bergamotdoor.fleet.quarantine import Quarantine, Strike, newest
+from bergamotdoor.fleet.quarantine import Quarantine, Strike, newest_strikes
 from bergamotdoor.peers.directory import ENTRY_KIND
 from bergamotdoor.peers.messages import Done, StrikesLearned
 from bergamotdoor.stored import Outcome, UnreadableError, reading
@@ -157,7 +157,7 @@
             await self._store_needed.wait()
             self._store_needed.clear()
             stored = _StoredStrikes(
-                newest(self._quarantine, _MAX_STORED_STRIKES)
+                newest_strikes(self._quarantine, _MAX_STORED_STRIKES)
             )
             written = await self._store.put_status(
                 ENTRY_KIND, self._node, msgspec.json.encode(stored)
--- a/bergamotdoor/platform/engines.py
+++ b/bergamotdoor/platform/engines.py
@@ -13,7 +13,7 @@
     LoadOrder,
     PublishedVersion,
 )
-from bergamotdoor.fleet.upstreams import Upstream, incarnation
+from bergamotdoor.fleet.upstreams import Upstream, incarnation_id
 from bergamotdoor.settings.document import Address
 from bergamotdoor.stored import reading
 from bergamotdoor.types import (
@@ -90,14 +90,14 @@
         decoded = msgspec.json.decode(stored.spec, type=_Registration)
         started = utils.from_ms(decoded.born)
         return Upstream(
-            upstream=incarnation(registration, started),
+            upstream=incarnation_id(registration, started),
             registration=registration,
             service=decoded.service,
             address=Address.parse(decoded.address),
             zone=decoded.zone,
             slots=decoded.slots,
             draining=decoded.state is _State.DRAINING,
-            cold=utils.from_ms(decoded.cold_left_ms),
+            warmup_left=utils.from_ms(decoded.cold_left_ms),
             versions={model.name: model.version for model in decoded.models},
             started=started,
         )
--- a/bergamotdoor/platform/headers.py
+++ b/bergamotdoor/platform/headers.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from bergamotdoor.fleet.loads import ToldLoad
+from bergamotdoor.fleet.loads import ReportedLoad
 
 _PREFIX: Final = 'x-bergamotdoor-'
 
@@ -55,9 +55,9 @@
 _LOAD_FIELD_COUNT: Final = 3
 
 
-def parse_load(text: str) -> ToldLoad | None:
+def parse_load(text: str) -> ReportedLoad | None:
     """Decode the load header; ``None`` if it is missing or malformed."""
     numbers = [part for part in text.split(',') if part.strip().isdecimal()]
     if len(numbers) != _LOAD_FIELD_COUNT:
         return None
-    return ToldLoad(*(int(number) for number in numbers))
+    return ReportedLoad(*(int(number) for number in numbers))
--- a/bergamotdoor/steps/dispatcher.py
+++ b/bergamotdoor/steps/dispatcher.py
@@ -165,7 +165,7 @@
         # includes this run.
         self._suspects.enter(run.spec, slot.spec, upstream.upstream)
         load = self._context.loads.of(upstream.upstream)
-        load.placed(now)
+        load.record_sent(now)
         task = start_counted(load, self._run_item(run, slot, item))
         # Added after the callback that counts the slot as free, so it runs
         # after that one.
--- a/bergamotdoor/steps/item_outcome.py
+++ b/bergamotdoor/steps/item_outcome.py
@@ -74,10 +74,10 @@
     load = context.loads.of(upstream)
     now = context.clock.elapsed()
     if isinstance(end, ItemResult):
-        load.succeeded()
+        load.record_success()
     elif end is RunEnd.REFUSED:
-        load.refused(now)
+        load.record_refusal(now)
     elif end is RunEnd.REPLACED:
-        context.fleet.replaced(upstream)
+        context.fleet.remove_replaced(upstream)
     elif end in {RunEnd.BROKEN, RunEnd.FAILED}:
-        load.failed(now)
+        load.record_failure(now)
--- a/bergamotdoor/steps/item_request.py
+++ b/bergamotdoor/steps/item_request.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from bergamotdoor.calls.fingerprint import fingerprint
+from bergamotdoor.calls.fingerprint import request_fingerprint
 from bergamotdoor.calls.manifest import Route
 from bergamotdoor.fleet.upstreams import Upstream
 from bergamotdoor.http.messages import ClientRequest, Headers
@@ -50,7 +50,7 @@
         '',
     )
     content = prompt.encode() if prompt else spec.body
-    return fingerprint('POST', job.host, spec.path, content)
+    return request_fingerprint('POST', job.host, spec.path, content)
 
 
 def item_request(run: ItemRun) -> ClientRequest:
--- a/bergamotdoor/steps/item_run.py
+++ b/bergamotdoor/steps/item_run.py
@@ -47,7 +47,7 @@
     load = context.loads.of(run.upstream.upstream)
     started_at = context.clock.elapsed()
     fingerprint = item_fingerprint(run.job, run.spec)
-    before = context.quarantine.strikes(fingerprint)
+    before = context.quarantine.count_strikes(fingerprint)
     end = await _run_at_engine(context, run)
     now = context.clock.elapsed()
     _log.info(
@@ -65,7 +65,7 @@
     if end is RunEnd.BROKEN:
         await note_end(context, run.upstream, fingerprint, before)
     elif isinstance(end, ItemResult):
-        context.quarantine.completed(fingerprint)
+        context.quarantine.clear_strikes(fingerprint)
     return end
 
 
@@ -119,14 +119,16 @@
         return RunEnd.BROKEN
     reported = names.parse_load(fields.first(names.LOAD))
     load = context.loads.of(run.upstream.upstream)
-    load.accepted(context.clock.elapsed())
+    load.record_acceptance(context.clock.elapsed())
     if reported is not None:
-        load.told(reported.running + reported.waiting, context.clock.elapsed())
+        load.record_report(
+            reported.running + reported.waiting, context.clock.elapsed()
+        )
     text = fields.first(names.WEIGHT_VERSION)
     if not text.isdecimal():
         return RunEnd.BROKEN
     version = WeightVersion(int(text))
-    context.fleet.saw(run.upstream.upstream, run.job.model, version)
+    context.fleet.record_version(run.upstream.upstream, run.job.model, version)
     if version < run.job.min_version:
         return RunEnd.OUTDATED
     run.transcript.begin_run(version)
@@ -175,7 +177,7 @@
         if not run.transcript.add(event):
             raise BodyBrokenError(f'event {event.number} out of order')
         if event.version is not None:
-            context.fleet.saw(
+            context.fleet.record_version(
                 run.upstream.upstream, run.job.model, event.version
             )
     run.progress.advance(run.transcript.count, context.clock.elapsed())
--- a/bergamotdoor/steps/item_suspects.py
+++ b/bergamotdoor/steps/item_suspects.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from bergamotdoor.fleet.quarantine import ITEM_STRIKES
+from bergamotdoor.fleet.quarantine import ITEM_STRIKE_LIMIT
 from bergamotdoor.observe.events import Counted
 from bergamotdoor.steps.item_request import item_fingerprint
 
@@ -19,7 +19,7 @@
 
 #: From this many strikes on, an item is isolated: it runs at an engine that
 #: runs no other isolated item.
-_ISOLATION_STRIKES: Final = ITEM_STRIKES - 1
+_ISOLATION_STRIKES: Final = ITEM_STRIKE_LIMIT - 1
 #: Delay before an item that must wait for other suspects is checked again. An
 #: engine usually generates an event in less time, and the run of another
 #: suspect may end with that event.
@@ -81,12 +81,16 @@
         if not quarantine:
             return _NO_WAIT
         fingerprint = item_fingerprint(job, spec)
-        rest = quarantine.rest(fingerprint, ITEM_STRIKES, now)
-        if rest:
+        remaining = quarantine.remaining_time(
+            fingerprint, ITEM_STRIKE_LIMIT, now
+        )
+        if remaining:
             self._context.metrics.count(Counted.ITEM_QUARANTINED)
-            _log.info('gateway: item %s in quarantine for %s', spec.item, rest)
-            return rest
-        strikes = quarantine.strikes(fingerprint)
+            _log.info(
+                'gateway: item %s in quarantine for %s', spec.item, remaining
+            )
+            return remaining
+        strikes = quarantine.count_strikes(fingerprint)
         if strikes and self._is_running(fingerprint):
             return _RECHECK_DELAY
         if strikes < _ISOLATION_STRIKES:
@@ -99,7 +103,7 @@
         if not quarantine:
             return False
         fingerprint = item_fingerprint(job, spec)
-        return quarantine.strikes(fingerprint) >= _ISOLATION_STRIKES
+        return quarantine.count_strikes(fingerprint) >= _ISOLATION_STRIKES
 
     def without_others(
         self, upstreams: tuple[Upstream, ...]
@@ -115,7 +119,7 @@
         if not quarantine:
             return
         fingerprint = item_fingerprint(job, spec)
-        strikes = quarantine.strikes(fingerprint)
+        strikes = quarantine.count_strikes(fingerprint)
         if strikes:
             isolated = strikes >= _ISOLATION_STRIKES
             self._running[spec.item] = _Suspect(fingerprint, upstream, isolated)
--- a/bergamotdoor/steps/owner.py
+++ b/bergamotdoor/steps/owner.py
@@ -134,7 +134,7 @@
             return known
         now = self._context.clock.elapsed()
         route = self._manifests.batch_route(loaded.spec)
-        time_allowed = _ROUTE_TIMEOUT if route is None else route.due
+        time_allowed = _ROUTE_TIMEOUT if route is None else route.due_after
         earlier = tuple(one.spec for one in self._runs.values())
         run = JobRun(
             self._context, self._store, found, loaded, now + time_allowed
@@ -215,7 +215,7 @@
             time_without_route = run.routeless(route)
             if route is not None:
                 self._dispatcher.move_items(run, route)
-                _end_if_overdue(run, route.give_up, now)
+                _end_if_overdue(run, route.abandon_after, now)
             elif knows_routes and time_without_route > _ROUTE_TIMEOUT:
                 _log.info(
                     'gateway: job %s: its route was removed', run.spec.job
@@ -258,18 +258,18 @@
 
 
 def _end_if_overdue(
-    run: JobRun, give_up: dt.timedelta | None, now: dt.timedelta
+    run: JobRun, abandon_after: dt.timedelta | None, now: dt.timedelta
 ) -> None:
     """Finish the open items of a job as lost, after its route's time limit.
 
     The time counts from when this process became the owner, so it is never
     shorter than the limit.
     """
-    if give_up is not None and now - run.began > give_up:
+    if abandon_after is not None and now - run.began > abandon_after:
         _log.info(
             'gateway: job %s: open items are lost after %s',
             run.spec.job,
-            give_up,
+            abandon_after,
         )
         run.give_up()
 
--- a/bergamotdoor/steps/peer_service.py
+++ b/bergamotdoor/steps/peer_service.py
@@ -125,7 +125,9 @@
         self._finder.remember(message.job, message.record, message.model)
 
     def _record_load(self, message: EngineLoaded) -> None:
-        self._fleet.loaded(message.engine, message.model, message.version)
+        self._fleet.record_version_at(
+            message.engine, message.model, message.version
+        )
         self._owner.poke()
         self._others.pass_on(message)
 
--- a/bergamotdoor/steps/scorer.py
+++ b/bergamotdoor/steps/scorer.py
@@ -9,8 +9,8 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, Final
 
+from bergamotdoor.calls.attempts import CallRules
 from bergamotdoor.calls.manifest import Route, pick_service
-from bergamotdoor.calls.tries import CallRules
 from bergamotdoor.forwarding import Attempt, Call, Forwarder
 from bergamotdoor.http.messages import Headers
 from bergamotdoor.jobs import score_room
--- a/features/crash_scenes.py
+++ b/features/crash_scenes.py
@@ -47,50 +47,52 @@
         return await self.act(site)
 
 
-async def arrive(site: Site, entry: str, request: str) -> Any:
-    """Send the request that crashes upstreams, and return the reply."""
+async def send_crashing_request(site: Site, entry: str, request: str) -> Any:
+    """Send the request that crashes upstreams, and return the response."""
     return await site.ask(
         entry, 'POST', CRASHING, b'x', Request_Id=request, Deadline_Ms='1500'
     )
 
 
-def ended(site: Site) -> int:
+def count_crashes(site: Site) -> int:
     """Return how often the plain services have crashed in all."""
     return sum(one.crashes.count for one in site.services.values())
 
 
-class Answer(NamedTuple):
-    """Reply to a request, and the time until it arrived."""
+class TimedResponse(NamedTuple):
+    """Response to a request, and the time until it arrived."""
 
     status: int
     retry_after_s: float
     took_s: float
 
 
-async def answered(site: Site, entry: str, request: str) -> Answer:
-    """Send the request that crashes upstreams, and time the reply."""
+async def time_crashing_request(
+    site: Site, entry: str, request: str
+) -> TimedResponse:
+    """Send the request that crashes upstreams, and time the response."""
     began = site.clock.elapsed()
-    reply = await arrive(site, entry, request)
+    response = await send_crashing_request(site, entry, request)
     took_s = (site.clock.elapsed() - began).total_seconds()
-    retry_after = reply.headers.first('retry-after', '0')
-    return Answer(reply.status, float(retry_after), took_s)
+    retry_after = response.headers.first('retry-after', '0')
+    return TimedResponse(response.status, float(retry_after), took_s)
 
 
-async def ask_beside(site: Site, number: int, one: int) -> int:
+async def send_slow_request(site: Site, number: int, index: int) -> int:
     """Send a slow, harmless request; return its status, 0 if unanswered.
 
     Parameters
     ----------
     site
         The site.
-    number, one
+    number, index
         Two numbers that identify the request.
     """
-    reply = await site.ask(
+    response = await site.ask(
         'entry-0',
         'POST',
-        f'/book/slow-{number}-{one}',
+        f'/book/slow-{number}-{index}',
         b'x',
-        Request_Id=f'slow-{number}-{one}',
+        Request_Id=f'slow-{number}-{index}',
     )
-    return 0 if reply is None else reply.status
+    return 0 if response is None else response.status
--- a/features/fleet_scenes.py
+++ b/features/fleet_scenes.py
@@ -48,7 +48,7 @@
     return [upstream(number, prefix, **fields) for number in range(count)]
 
 
-async def with_agent(site: Site) -> Engine:
+async def start_engine_with_agent(site: Site) -> Engine:
     """Start one engine with its agent, and one entry process."""
     await site.start(engines=1, services=0, entries=1)
     engine = site.engines['engine-0']
--- a/features/jobs_progress.feature
+++ b/features/jobs_progress.feature
@@ -91,7 +91,7 @@
     And a text of two versions is not accepted by a job that wants one
 
   Scenario: one request probes an upstream that refused another
-    Sixteen items wait for an engine that loads weights. When its rest ends,
+    Sixteen items wait for an engine that loads weights. When its backoff ends,
     one item is sent there; the others follow once that one was accepted.
 
     Given an upstream that refused a request
@@ -103,7 +103,7 @@
     get requests for 8 s.
 
     Given an upstream whose 16 requests break in one moment
-    Then it rests for half a second, and longer only if it breaks again
+    Then it is avoided for half a second, and longer only if it breaks again
 
   Scenario: a slot at a fast engine goes first to an item that moves there
     A step has five times as many items as the engines have slots. Two of the
--- a/features/steps/agent_weights_steps.py
+++ b/features/steps/agent_weights_steps.py
@@ -10,12 +10,12 @@
 from behave import given, then, when
 
 from bergamotdoor.agent.daemon import AgentDaemon
-from bergamotdoor.fleet.swap import Roster
+from bergamotdoor.fleet.model_assignment import ModelAssignment
 from bergamotdoor.types import (
     ModelId,
     WeightVersion,
 )
-from features.fleet_scenes import publish, upstreams, with_agent
+from features.fleet_scenes import publish, start_engine_with_agent, upstreams
 from lab.site import Site, at, play
 
 if TYPE_CHECKING:
@@ -33,13 +33,13 @@
 
 @given('an engine and its agent')
 def engine_and_agent(context: Any) -> None:
-    context.prepare = with_agent
+    context.prepare = start_engine_with_agent
 
 
 @given('an engine whose agent can no longer reach the store')
 def engine_and_disconnected_agent(context: Any) -> None:
     async def prepare(site: Site) -> Engine:
-        engine = await with_agent(site)
+        engine = await start_engine_with_agent(site)
         agent = site.agents['side-0']
         agent._access.direct.address = at(8999)
         site.store.cut_watches()
@@ -153,7 +153,7 @@
 )
 def check_turns(context: Any) -> None:
     delays = [
-        Roster(context.listed, one.address).turn_delay(ModelId('m'))
+        ModelAssignment(context.listed, one.address).turn_delay(ModelId('m'))
         // dt.timedelta(milliseconds=1)
         for one in context.listed
     ]
@@ -195,8 +195,10 @@
 
 @then('each model has {min_count:d} to {max_count:d} engines of its own')
 def check_own_engines(context: Any, min_count: int, max_count: int) -> None:
-    rosters = [Roster(context.listed, one.address) for one in context.listed]
-    assigned = [model for roster in rosters for model in roster.models()]
+    assignments = [
+        ModelAssignment(context.listed, one.address) for one in context.listed
+    ]
+    assigned = [model for one in assignments for model in one.models()]
     counts = [assigned.count(model) for model in context.models]
     assert min_count <= min(counts), counts
     assert max(counts) <= max_count, counts
@@ -205,7 +207,7 @@
 @then('the loss of one engine changes the models of {count:d} others at most')
 def check_few_changes(context: Any, count: int) -> None:
     before = {
-        one.upstream: Roster(context.listed, one.address).models()
+        one.upstream: ModelAssignment(context.listed, one.address).models()
         for one in context.listed
     }
     for lost in context.listed:
@@ -213,7 +215,8 @@
         changed = [
             one
             for one in remaining
-            if Roster(remaining, one.address).models() != before[one.upstream]
+            if ModelAssignment(remaining, one.address).models()
+            != before[one.upstream]
         ]
         assert len(changed) <= count, changed
 
@@ -221,7 +224,9 @@
 @then('the last of them begins to load within {max_s:d} s')
 def check_last_turn(context: Any, max_s: int) -> None:
     delays = [
-        Roster(context.listed, one.address).turn_delay(context.models[0])
+        ModelAssignment(context.listed, one.address).turn_delay(
+            context.models[0]
+        )
         for one in context.listed
     ]
     assert dt.timedelta() < max(delays) < dt.timedelta(seconds=max_s), delays
--- a/features/steps/calls_tries_steps.py
+++ b/features/steps/calls_attempts_steps.py
@@ -8,7 +8,7 @@
 import hypothesis
 from behave import given, then
 
-from bergamotdoor.calls.tries import CallRules, Tries
+from bergamotdoor.calls.attempts import CallAttempts, CallRules
 from bergamotdoor.fleet.loads import Loads
 from bergamotdoor.verdict import Verdict
 from features.fleet_scenes import ZONE, upstreams
@@ -22,7 +22,7 @@
         repeatable=repeatable,
         idempotent=repeatable,
         max_attempts=max_attempts,
-        patience=dt.timedelta(milliseconds=100),
+        hedge_delay=dt.timedelta(milliseconds=100),
         deadline=DEADLINE,
     )
 
@@ -49,14 +49,14 @@
     repeatable: bool, max_attempts: int, count: int, events: list[Event]
 ) -> None:
     """Check one history, with an attempt begun whenever it is allowed."""
-    tries = Tries(rules(repeatable, max_attempts), ZONE)
+    attempts = CallAttempts(rules(repeatable, max_attempts), ZONE)
     loads = Loads()
     now = NOW
     tried: list[str] = []
     running = 0
     ran = 0
     for event in events:
-        upstream = tries.begin(upstreams(count), loads, now)
+        upstream = attempts.begin_attempt(upstreams(count), loads, now)
         if upstream is not None:
             assert upstream.upstream not in tried, tried
             assert now < DEADLINE
@@ -64,13 +64,13 @@
             tried.append(upstream.upstream)
             running += 1
         assert running + ran <= max_attempts
-        assert tries.patience(now) >= dt.timedelta()
+        assert attempts.wait_time(now) >= dt.timedelta()
         if event.verdict is not None and running:
-            tries.end(event.verdict)
+            attempts.end_attempt(event.verdict)
             running -= 1
             ran += event.verdict is not Verdict.NOT_RUN
         has_not_run = not ran and not running
-        assert (tries.verdict is Verdict.NOT_RUN) == has_not_run
+        assert (attempts.verdict is Verdict.NOT_RUN) == has_not_run
         now += dt.timedelta(milliseconds=event.passes_ms)
 
 
@@ -94,36 +94,36 @@
     context.upstreams = upstreams(2)
 
 
-def begin_first_attempt(context: Any, repeatable: bool) -> Tries:
-    tries = Tries(rules(repeatable), ZONE)
-    assert tries.begin(context.upstreams, Loads(), NOW) is not None
-    return tries
+def begin_first_attempt(context: Any, repeatable: bool) -> CallAttempts:
+    attempts = CallAttempts(rules(repeatable), ZONE)
+    assert attempts.begin_attempt(context.upstreams, Loads(), NOW) is not None
+    return attempts
 
 
 @then('an idempotent call waits 100 ms before it is sent to the second')
 def check_hedge(context: Any) -> None:
-    tries = begin_first_attempt(context, repeatable=True)
-    assert tries.patience(NOW) == dt.timedelta(milliseconds=100)
-    assert tries.begin(context.upstreams, Loads(), NOW) is not None
+    attempts = begin_first_attempt(context, repeatable=True)
+    assert attempts.wait_time(NOW) == dt.timedelta(milliseconds=100)
+    assert attempts.begin_attempt(context.upstreams, Loads(), NOW) is not None
 
 
 @then('a call that may run once waits for the first to its deadline')
 def check_no_hedge(context: Any) -> None:
-    tries = begin_first_attempt(context, repeatable=False)
-    assert tries.patience(NOW) == tries.left(NOW)
-    assert tries.begin(context.upstreams, Loads(), NOW) is None
+    attempts = begin_first_attempt(context, repeatable=False)
+    assert attempts.wait_time(NOW) == attempts.time_left(NOW)
+    assert attempts.begin_attempt(context.upstreams, Loads(), NOW) is None
 
 
 @then('a call that may run once is sent on after a refusal')
 def check_sent_on(context: Any) -> None:
-    tries = begin_first_attempt(context, repeatable=False)
-    tries.end(Verdict.NOT_RUN)
-    assert tries.begin(context.upstreams, Loads(), NOW) is not None
+    attempts = begin_first_attempt(context, repeatable=False)
+    attempts.end_attempt(Verdict.NOT_RUN)
+    assert attempts.begin_attempt(context.upstreams, Loads(), NOW) is not None
 
 
 @then('it is not sent on after a broken answer')
 def check_not_sent_on(context: Any) -> None:
-    tries = begin_first_attempt(context, repeatable=False)
-    tries.end(Verdict.MAY_HAVE_RUN)
-    assert tries.begin(context.upstreams, Loads(), NOW) is None
-    assert tries.verdict is Verdict.MAY_HAVE_RUN
+    attempts = begin_first_attempt(context, repeatable=False)
+    attempts.end_attempt(Verdict.MAY_HAVE_RUN)
+    assert attempts.begin_attempt(context.upstreams, Loads(), NOW) is None
+    assert attempts.verdict is Verdict.MAY_HAVE_RUN
--- a/features/steps/fleet_incarnations_steps.py
+++ b/features/steps/fleet_incarnations_steps.py
@@ -10,7 +10,7 @@
 
 from bergamotdoor.fleet.fleet import Fleet
 from bergamotdoor.fleet.loads import Loads
-from bergamotdoor.fleet.upstreams import Upstream, incarnation
+from bergamotdoor.fleet.upstreams import Upstream, incarnation_id
 from bergamotdoor.jobs import Progress, Speeds
 from bergamotdoor.types import (
     ItemId,
@@ -19,7 +19,7 @@
     ServiceId,
     WeightVersion,
 )
-from features.fleet_scenes import publish, upstream, with_agent
+from features.fleet_scenes import publish, start_engine_with_agent, upstream
 from features.job_scenes import JOB, handed_in, lengths_of
 from lab.site import Site, at, play
 
@@ -38,7 +38,7 @@
     start = dt.timedelta(seconds=start_s)
     return upstream(
         0,
-        upstream=incarnation(NAME, start),
+        upstream=incarnation_id(NAME, start),
         started=start,
         address=at(port),
         versions={MODEL: WeightVersion(version)},
@@ -56,10 +56,10 @@
     context.fleet = Fleet((context.loads.forget, context.speeds.forget))
     first = engine_started(1)
     context.fleet.put(first)
-    context.fleet.saw(first.upstream, MODEL, WeightVersion(7))
+    context.fleet.record_version(first.upstream, MODEL, WeightVersion(7))
     load = context.loads.of(first.upstream)
-    load.enter()
-    load.failed(NOW)
+    load.begin_request()
+    load.record_failure(NOW)
     progress = Progress(ItemId('i'), first.upstream, NOW, 50)
     for event in range(30):
         progress.advance(event, NOW + dt.timedelta(seconds=event / 5))
@@ -78,7 +78,7 @@
     name = context.restarted.upstream
     load = context.loads.of(name)
     assert load.in_flight == 0
-    assert not load.resting(NOW)
+    assert not load.is_in_backoff(NOW)
     assert context.speeds.interval_s(name) < context.usual_s
     assert [one.upstream for one in context.fleet] == [name]
 
@@ -131,7 +131,7 @@
 def replaced_engine(context: Any) -> None:
     context.fleet = Fleet()
     context.fleet.put(engine_started(1, 8100))
-    context.fleet.replaced(engine_started(1).upstream)
+    context.fleet.remove_replaced(engine_started(1).upstream)
 
 
 @when('its old registration is written again, and then one of a new start')
@@ -213,7 +213,7 @@
 @when('the engine starts again {when_ms:d} ms after it accepted the order')
 def restart_at_order(context: Any, when_ms: int) -> None:
     async def scene(site: Site) -> None:
-        engine = await with_agent(site)
+        engine = await start_engine_with_agent(site)
         publish(site, context.version)
         await wait_until(site, lambda: engine.orders, 10)
         await asyncio.sleep(when_ms / 1000)
@@ -235,7 +235,7 @@
 @given('an engine whose first order is delayed until it has started again')
 def delayed_order(context: Any) -> None:
     async def scene(site: Site) -> None:
-        engine = await with_agent(site)
+        engine = await start_engine_with_agent(site)
         engine.late_orders = 1
         publish(site, 2)
         await wait_until(site, lambda: not engine.late_orders, 10)
--- a/features/steps/fleet_quarantine_steps.py
+++ b/features/steps/fleet_quarantine_steps.py
@@ -10,8 +10,8 @@
 from hypothesis import settings, strategies
 
 from bergamotdoor.fleet.quarantine import (
-    CALL_STRIKES,
-    ITEM_STRIKES,
+    CALL_STRIKE_LIMIT,
+    ITEM_STRIKE_LIMIT,
     Quarantine,
     Strike,
 )
@@ -42,7 +42,7 @@
 
 def counts(strikes: list[Strike]) -> list[int]:
     quarantine = quarantine_of(strikes)
-    return [quarantine.strikes(request) for request in REQUESTS]
+    return [quarantine.count_strikes(request) for request in REQUESTS]
 
 
 @then('strikes in any order give each request the same count')
@@ -70,7 +70,7 @@
 def quarantine_times_s(context: Any, min_strikes: int) -> list[float]:
     return [
         quarantine_of(context.chain[:crashes])
-        .rest(REQUEST, min_strikes, NOW)
+        .remaining_time(REQUEST, min_strikes, NOW)
         .total_seconds()
         for crashes in range(1, 5)
     ]
@@ -78,12 +78,12 @@
 
 @then('a call is quarantined for 0, 5, 120 and 600 s after crashes 1 to 4')
 def check_call_times(context: Any) -> None:
-    assert quarantine_times_s(context, CALL_STRIKES) == [0, 5, 120, 600]
+    assert quarantine_times_s(context, CALL_STRIKE_LIMIT) == [0, 5, 120, 600]
 
 
 @then('an item is quarantined for 0, 0, 5 and 120 s after them')
 def check_item_times(context: Any) -> None:
-    assert quarantine_times_s(context, ITEM_STRIKES) == [0, 0, 5, 120]
+    assert quarantine_times_s(context, ITEM_STRIKE_LIMIT) == [0, 0, 5, 120]
 
 
 @given('three upstreams that crash at the same time with the same request')
@@ -95,7 +95,7 @@
 
 @then('the request has one strike')
 def check_one_strike(context: Any) -> None:
-    assert context.quarantine.strikes(REQUEST) == 1
+    assert context.quarantine.count_strikes(REQUEST) == 1
 
 
 @given('an upstream that crashes while it runs a suspected and a new request')
@@ -107,8 +107,8 @@
 
 @then('the new request has no strikes')
 def check_no_strikes(context: Any) -> None:
-    assert context.quarantine.strikes(NEW) == 0
-    assert context.quarantine.strikes(REQUEST) == 2
+    assert context.quarantine.count_strikes(NEW) == 0
+    assert context.quarantine.count_strikes(REQUEST) == 2
 
 
 @given(
@@ -122,7 +122,7 @@
         now = NOW + dt.timedelta(milliseconds=pause_ms * number)
         upstream = UpstreamId(f'u{number}')
         quarantine.add(quarantine.next_strike(REQUEST, upstream, 0, now), now)
-        context.strike_counts.append(quarantine.strikes(REQUEST))
+        context.strike_counts.append(quarantine.count_strikes(REQUEST))
 
 
 @then('the request has 1, 2, 3 and 4 strikes after crashes 1 to 4')
@@ -140,7 +140,7 @@
     for number in range(count):
         quarantine.add(strike(number, 5, NEW), NOW)
         quarantine.add(strike(number, 0), NOW)
-        context.strike_counts.append(quarantine.strikes(REQUEST))
+        context.strike_counts.append(quarantine.count_strikes(REQUEST))
 
 
 @then('the request has 0, 1, 2, 3 and 4 strikes after crashes 1 to 5')
--- a/features/steps/gateway_calls_steps.py
+++ b/features/steps/gateway_calls_steps.py
@@ -306,7 +306,7 @@
 @then('the entry no longer knows the replaced upstream')
 def replaced_is_unknown(context: Any) -> None:
     fleet = context.site.entries['entry-0']._context.fleet
-    assert fleet.registered(RegistrationId('desk-0')) is None
+    assert fleet.find_registered(RegistrationId('desk-0')) is None
 
 
 @then('the first upstream got none of them')
--- a/features/steps/gateway_crashes_steps.py
+++ b/features/steps/gateway_crashes_steps.py
@@ -11,7 +11,12 @@
 
 from bergamotdoor.cli.ctl import Seen, status_lines
 from bergamotdoor.settings.document import Address
-from features.crash_scenes import CrashPlan, answered, arrive, ended
+from features.crash_scenes import (
+    CrashPlan,
+    count_crashes,
+    send_crashing_request,
+    time_crashing_request,
+)
 from features.support import logged
 from lab.site import Site, play
 from lab.site_routes import plain_route
@@ -30,7 +35,7 @@
 def arrive_at_each_entry(context: Any, pause_s: int) -> None:
     async def act(site: Site) -> int:
         for number, entry in enumerate(site.entries):
-            await arrive(site, entry, f'call-{number}')
+            await send_crashing_request(site, entry, f'call-{number}')
             await asyncio.sleep(pause_s)
         return sum(service.crashes.count for service in site.services.values())
 
@@ -71,10 +76,10 @@
         arrivals = []
         entries = list(site.entries)
         for number in range(times):
-            before = ended(site)
+            before = count_crashes(site)
             entry = entries[number % len(entries)]
-            reply = await arrive(site, entry, f'call-{number}')
-            reached = ended(site) - before
+            reply = await send_crashing_request(site, entry, f'call-{number}')
+            reached = count_crashes(site) - before
             arrivals.append(Arrival(before, reached, reply.status))
             await asyncio.sleep(pause_s)
         return arrivals
@@ -91,12 +96,12 @@
     async def act(site: Site) -> list[Arrival]:
         arrivals: list[Arrival] = []
         for number in range(times):
-            before = ended(site)
+            before = count_crashes(site)
             replies = await asyncio.gather(
-                arrive(site, 'entry-0', f'first-{number}'),
-                arrive(site, 'entry-1', f'second-{number}'),
+                send_crashing_request(site, 'entry-0', f'first-{number}'),
+                send_crashing_request(site, 'entry-1', f'second-{number}'),
             )
-            reached = ended(site) - before
+            reached = count_crashes(site) - before
             arrivals.extend(
                 Arrival(before, reached, reply.status) for reply in replies
             )
@@ -120,10 +125,10 @@
 @when('it arrives at one entry and {pause_s:f} s later at the other')
 def arrive_at_one_then_other(context: Any, pause_s: float) -> None:
     async def act(site: Site) -> None:
-        await arrive(site, 'entry-0', 'call-0')
+        await send_crashing_request(site, 'entry-0', 'call-0')
         await asyncio.sleep(pause_s)
-        context.second = await answered(site, 'entry-1', 'call-1')
-        context.ends = ended(site)
+        context.second = await time_crashing_request(site, 'entry-1', 'call-1')
+        context.ends = count_crashes(site)
         other = await site.ask(
             'entry-1', 'POST', '/book/sound', b'x', Request_Id='sound'
         )
@@ -169,16 +174,16 @@
 @when('it arrives twice, and again {pause_s:d} s later at mended upstreams')
 def arrive_at_mended(context: Any, pause_s: int) -> None:
     async def act(site: Site) -> None:
-        await arrive(site, 'entry-0', 'call-0')
+        await send_crashing_request(site, 'entry-0', 'call-0')
         await asyncio.sleep(6)
-        await arrive(site, 'entry-0', 'call-1')
-        context.ends = ended(site)
+        await send_crashing_request(site, 'entry-0', 'call-1')
+        context.ends = count_crashes(site)
         for service in site.services.values():
             service.crashes.targets.clear()
         await asyncio.sleep(pause_s)
-        context.first = await answered(site, 'entry-0', 'call-2')
+        context.first = await time_crashing_request(site, 'entry-0', 'call-2')
         slow_down_services(site)
-        context.second = await answered(site, 'entry-0', 'call-3')
+        context.second = await time_crashing_request(site, 'entry-0', 'call-3')
         context.request_ids = request_ids_seen(site)
 
     context.plan.act = act
@@ -259,8 +264,8 @@
         spec = failing.registration(slots=100)
         site.store.put('servers', failing.name, spec)
         await asyncio.sleep(2.5)
-        context.reply = await arrive(site, 'entry-0', 'call-0')
-        context.ends = ended(site)
+        context.reply = await send_crashing_request(site, 'entry-0', 'call-0')
+        context.ends = count_crashes(site)
 
     context.plan.act = act
     play(context.plan)
--- a/features/steps/gateway_innocent_steps.py
+++ b/features/steps/gateway_innocent_steps.py
@@ -7,7 +7,11 @@
 
 from behave import given, then, when
 
-from features.crash_scenes import CrashPlan, arrive, ask_beside
+from features.crash_scenes import (
+    CrashPlan,
+    send_crashing_request,
+    send_slow_request,
+)
 from lab.site import Site, play
 from lab.upstreams import Upstream, UpstreamMode, register
 
@@ -30,11 +34,11 @@
             for service in site.services.values():
                 service.work_s = 0.04
             beside = [
-                asyncio.create_task(ask_beside(site, number, slow))
+                asyncio.create_task(send_slow_request(site, number, slow))
                 for slow in range(6)
             ]
             await asyncio.sleep(0.01)
-            await arrive(site, 'entry-0', f'call-{number}')
+            await send_crashing_request(site, 'entry-0', f'call-{number}')
             context.slow.extend(await asyncio.gather(*beside))
             await asyncio.sleep(7)
         context.statuses = await repeat_slow_calls(site, times)
@@ -45,7 +49,7 @@
 
 async def repeat_slow_calls(site: Site, times: int) -> list[int]:
     return [
-        await ask_beside(site, number, slow)
+        await send_slow_request(site, number, slow)
         for number in range(times)
         for slow in range(6)
     ]
@@ -78,7 +82,7 @@
                 caller.cancel()
         context.held_back = count_held_back(site)
         context.ended_counts = [
-            len(entry._context.quarantine._ended)
+            len(entry._context.quarantine._by_upstream)
             for entry in site.entries.values()
         ]
 
--- a/features/steps/gateway_sent_twice_steps.py
+++ b/features/steps/gateway_sent_twice_steps.py
@@ -19,7 +19,12 @@
 from bergamotdoor.http.sending import send
 from bergamotdoor.settings.document import Address
 from bergamotdoor.verdict import Verdict
-from features.crash_scenes import CRASHING, CrashPlan, arrive, ended
+from features.crash_scenes import (
+    CRASHING,
+    CrashPlan,
+    count_crashes,
+    send_crashing_request,
+)
 from lab.site import Site, play
 
 if TYPE_CHECKING:
@@ -37,14 +42,14 @@
     )
     assert first and first.status == 200, first
     assert site.entries['entry-0']._client.idle_connections
-    return await arrive(site, 'entry-0', 'call-1')
+    return await send_crashing_request(site, 'entry-0', 'call-1')
 
 
 @when('a request arrives under which the upstream ends')
 def end_on_idle_connection(context: Any) -> None:
     async def act(site: Site) -> Any:
         reply = await arrive_on_idle_connection(site)
-        return reply, ended(site)
+        return reply, count_crashes(site)
 
     context.plan.act = act
     outcome = play(context.plan)
--- a/features/steps/jobs_progress_steps.py
+++ b/features/steps/jobs_progress_steps.py
@@ -366,7 +366,7 @@
 def refused(context: Any) -> None:
     context.loads = Loads()
     context.load = context.loads.of(WHERE)
-    context.load.refused(ms(0))
+    context.load.record_refusal(ms(0))
 
 
 @then('it gets no request for 300 ms, then one, and more once that one runs')
@@ -376,9 +376,9 @@
     free = [
         free_slots(engine, context.loads, ms(at_ms)) for at_ms in (299, 300)
     ]
-    load.placed(ms(300))
+    load.record_sent(ms(300))
     free.append(free_slots(engine, context.loads, ms(310)))
-    load.accepted(ms(320))
+    load.record_acceptance(ms(320))
     free.append(free_slots(engine, context.loads, ms(320)))
     assert free == [0, 4, 0, 4], free
 
@@ -387,17 +387,17 @@
 def break_together(context: Any, count: int) -> None:
     context.load = UpstreamLoad()
     for number in range(count):
-        context.load.failed(ms(number / 10))
+        context.load.record_failure(ms(number / 10))
 
 
-@then('it rests for half a second, and longer only if it breaks again')
-def rests_once(context: Any) -> None:
+@then('it is avoided for half a second, and longer only if it breaks again')
+def check_backoff(context: Any) -> None:
     load: UpstreamLoad = context.load
-    assert load.resting(ms(499))
-    assert not load.resting(ms(502))
-    load.failed(ms(600))
-    assert load.resting(ms(1599))
-    assert not load.resting(ms(1601))
+    assert load.is_in_backoff(ms(499))
+    assert not load.is_in_backoff(ms(502))
+    load.record_failure(ms(600))
+    assert load.is_in_backoff(ms(1599))
+    assert not load.is_in_backoff(ms(1601))
 
 
 @given('a site with a slow engine and a step of 2 long and 40 short items')
--- a/features/steps/peers_strikes_steps.py
+++ b/features/steps/peers_strikes_steps.py
@@ -8,11 +8,11 @@
 from behave import then, when
 
 from features.crash_scenes import (
-    Answer,
-    answered,
-    arrive,
-    ask_beside,
-    ended,
+    TimedResponse,
+    count_crashes,
+    send_crashing_request,
+    send_slow_request,
+    time_crashing_request,
 )
 from lab.site import Site, play
 
@@ -20,33 +20,34 @@
 @when('it comes, all entries start again, and it comes {pause_s:d} s later')
 def restart_entries(context: Any, pause_s: int) -> None:
     async def act(site: Site) -> None:
-        await arrive(site, 'entry-0', 'call-0')
+        await send_crashing_request(site, 'entry-0', 'call-0')
         await asyncio.sleep(0.3)
-        context.ended_before = ended(site)
+        context.ended_before = count_crashes(site)
         names = list(site.entries)
         for name in names:
             await site.kill(name)
         for name in names:
             await site.add_entry(name)
         await asyncio.sleep(pause_s)
-        context.answers = await answers_of_all(site, names)
-        context.ended_after = ended(site)
+        context.responses = await responses_of_all(site, names)
+        context.ended_after = count_crashes(site)
 
     context.plan.act = act
     play(context.plan)
 
 
-async def answers_of_all(site: Site, names: list[str]) -> list[Answer]:
-    return [await answered(site, name, f'again-{name}') for name in names]
+async def responses_of_all(site: Site, names: list[str]) -> list[TimedResponse]:
+    return [
+        await time_crashing_request(site, name, f'again-{name}')
+        for name in names
+    ]
 
 
 @then('it reaches no upstream after the restart')
 def check_none_after_restart(context: Any) -> None:
     assert context.ended_before == 2, context.ended_before
     assert context.ended_after == context.ended_before, context.ended_after
-    assert {answer.status for answer in context.answers} == {503}, (
-        context.answers
-    )
+    assert {one.status for one in context.responses} == {503}, context.responses
 
 
 @when(
@@ -63,14 +64,14 @@
 
         setattr(cut_off._parts.peer_service, 'handle', no_reply)  # noqa: B010
         await asyncio.sleep(0.1)
-        await arrive(site, 'entry-0', 'call-0')
+        await send_crashing_request(site, 'entry-0', 'call-0')
         await asyncio.sleep(cut_s)
         setattr(cut_off._parts.peer_service, 'handle', handle)  # noqa: B010
         # The pause after the first two ends is over by then, so the request
         # reaches one more upstream through another entry and ends it.
-        await arrive(site, 'entry-1', 'call-1')
+        await send_crashing_request(site, 'entry-1', 'call-1')
         await asyncio.sleep(later_s)
-        context.second = await answered(site, 'entry-2', 'call-2')
+        context.second = await time_crashing_request(site, 'entry-2', 'call-2')
 
     context.plan.act = act
     play(context.plan)
@@ -99,9 +100,13 @@
             site.store.remove('servers', service.name)
         first.work_s = 0.05
         await asyncio.sleep(2.5)
-        ending = asyncio.create_task(arrive(site, 'entry-0', 'call-0'))
+        ending = asyncio.create_task(
+            send_crashing_request(site, 'entry-0', 'call-0')
+        )
         await asyncio.sleep(0.02)
-        other_calls = [ask_beside(site, 0, number) for number in range(count)]
+        other_calls = [
+            send_slow_request(site, 0, number) for number in range(count)
+        ]
         await asyncio.gather(ending, *other_calls)
         await asyncio.sleep(0.5)
         context.messages = messages
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -123,11 +123,11 @@
     manifest = context.manifest
     jobs = manifest.match('a.example:80', '/p/x?y=/p/q/')
     assert jobs.kind is RouteKind.BATCH
-    assert jobs.due == dt.timedelta(milliseconds=7500)
-    assert jobs.give_up.total_seconds() == 40
+    assert jobs.due_after == dt.timedelta(milliseconds=7500)
+    assert jobs.abandon_after.total_seconds() == 40
     calls = manifest.match('A.EXAMPLE', '/p/q/x')
     assert calls.kind is RouteKind.ONCE
-    assert calls.objective == dt.timedelta(milliseconds=191)
+    assert calls.target_latency == dt.timedelta(milliseconds=191)
     assert manifest.match('b.example', '/p/q/x') is None
     assert manifest.match('a.example', '/p') is None
     assert manifest.limits.max_body_bytes == 5
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -202,7 +202,7 @@
     Mutation(
         'requests that fail together count as one failure of an upstream',
         'fleet/loads.py',
-        '        if self.resting(now):\n            return\n',
+        '        if self.is_in_backoff(now):\n            return\n',
         '',
         'jobs_progress',
     ),
@@ -215,8 +215,8 @@
     ),
     Mutation(
         'a request that may run only once is not retried if it may have run',
-        'calls/tries.py',
-        'if not rules.repeatable and (self.ran or self.running):',
+        'calls/attempts.py',
+        'if not rules.repeatable and (self.possible_runs or self.in_flight):',
         'if False and not rules.repeatable:',
         'gateway_calls',
     ),
@@ -310,8 +310,11 @@
     Mutation(
         'score calls leave slots free for callers',
         'jobs/scoring.py',
-        'return max(upstream.slots - for_callers - load.others(now), 0)',
-        'return upstream.slots * 10',
+        '    return max(\n'
+        '        upstream.slots - for_callers - '
+        'load.estimated_other_requests(now), 0\n'
+        '    )\n',
+        '    return upstream.slots * 10\n',
         _SCORING,
     ),
     Mutation(
@@ -454,7 +457,7 @@
     Mutation(
         'a request under which upstreams ended is quarantined',
         'fleet/quarantine.py',
-        '        excess = self.strikes(fingerprint) - least\n',
+        '        excess = self.count_strikes(fingerprint) - min_strikes\n',
         '        excess = -1\n',
         _CRASHES,
     ),
@@ -517,7 +520,7 @@
     Mutation(
         'an item under which engines ended is quarantined',
         'steps/item_suspects.py',
-        '        if rest:\n',
+        '        if remaining:\n',
         '        if False:\n',
         'steps_crashes',
     ),
