--- a/bergamotdoor/jobs/__init__.py
+++ b/bergamotdoor/jobs/__init__.py
@@ -10,20 +10,20 @@
 
 from __future__ import annotations
 
-from bergamotdoor.jobs.board import JobBoard, RunEnd, Slot
+from bergamotdoor.jobs.item_queue import ItemQueue, QueuedItem, RunEnd
 from bergamotdoor.jobs.ledger import Ledger
 from bergamotdoor.jobs.messages import ItemResult, ItemState, JobSpec
 from bergamotdoor.jobs.placement import free_slots, place_item
-from bergamotdoor.jobs.progress import Move, Progress, Speeds, moves
+from bergamotdoor.jobs.progress import Move, Progress, Speeds, choose_moves
 from bergamotdoor.jobs.reservations import Reservations
-from bergamotdoor.jobs.scoring import ScoreEnd, ScoreQueue, score_room
+from bergamotdoor.jobs.scoring import ScoreEnd, ScoreQueue, free_score_slots
 from bergamotdoor.jobs.transcript import GeneratedEvent, Transcript
 
 __all__ = (
     'GeneratedEvent',
     'ItemResult',
     'ItemState',
-    'JobBoard',
+    'ItemQueue',
     'JobSpec',
     'Ledger',
     'Move',
@@ -32,11 +32,11 @@
     'RunEnd',
     'ScoreEnd',
     'ScoreQueue',
-    'Slot',
+    'QueuedItem',
     'Speeds',
     'Transcript',
     'free_slots',
-    'moves',
+    'choose_moves',
     'place_item',
-    'score_room',
+    'free_score_slots',
 )
--- a/bergamotdoor/jobs/board.py
+++ b/bergamotdoor/jobs/item_queue.py
@@ -66,16 +66,16 @@
     TOO_OLD = 'too-old'
 
 
-class Slot(msgspec.Struct):
+class QueuedItem(msgspec.Struct):
     """State of one item."""
 
     spec: ItemSpec
     #: Position in the start order of the job; lower ones start first.
     order: int
     #: How many runs of the item are in progress.
-    running: int = 0
+    runs_in_progress: int = 0
     #: Whether the text is complete; it may still wait for its score.
-    generated: bool = False
+    is_generated: bool = False
     #: How many runs the engines answered with a failure.
     failures: int = 0
     #: The upstream of the last run that broke, failed or moved, if any.
@@ -83,7 +83,7 @@
     result: ItemResult | None = None
 
 
-class JobBoard:
+class ItemQueue:
     """Items of one job that had no stored result at the start.
 
     Parameters
@@ -98,7 +98,7 @@
         #: Number of failed runs after which an item is lost; set from the
         #: job's route.
         self.max_failures = 1
-        self._items: dict[ItemId, Slot] = {}
+        self._items: dict[ItemId, QueuedItem] = {}
         #: Heap of the items that may start now.
         self._waiting: list[tuple[int, ItemId]] = []
         #: Heap of the items that may start after a pause.
@@ -110,16 +110,16 @@
         self._open_in_group: Counter[GroupId] = Counter()
         for order, item in enumerate(_long_items_first(spec.items)):
             if item.item not in ledger:
-                self._items[item.item] = Slot(item, order)
+                self._items[item.item] = QueuedItem(item, order)
                 self._waiting.append((order, item.item))
                 self._open_in_group[item.group] += 1
         #: The engine that has each group's prompt in its cache.
-        self.homes: dict[GroupId, UpstreamId] = {}
+        self.prompt_upstreams: dict[GroupId, UpstreamId] = {}
         #: Number of items that have no result yet.
         self.open_items = len(self._items)
 
     @property
-    def has_finished(self) -> bool:
+    def has_results_to_store(self) -> bool:
         """Whether results of complete groups wait to be stored.
 
         Results of an incomplete group are not stored. A trainer cannot use
@@ -128,58 +128,58 @@
         """
         return bool(self._finished)
 
-    def ready(self, now: dt.timedelta) -> Slot | None:
+    def next_item(self, now: dt.timedelta) -> QueuedItem | None:
         """Return the item that should start next, or ``None``.
 
         The item stays in the queue until ``start`` or ``defer`` removes it.
         """
         _requeue_due_items(self._delayed, self._waiting, now)
         while self._waiting:
-            slot = self._items[self._waiting[0][1]]
-            if slot.result is None and not slot.generated:
-                return slot
+            queued = self._items[self._waiting[0][1]]
+            if queued.result is None and not queued.is_generated:
+                return queued
             heapq.heappop(self._waiting)
         return None
 
-    def start(self, slot: Slot) -> None:
+    def start(self, queued: QueuedItem) -> None:
         """Remove the first item from the queue and count its run."""
         first = heapq.heappop(self._waiting)
-        assert first[1] == slot.spec.item, first
-        slot.running += 1
+        assert first[1] == queued.spec.item, first
+        queued.runs_in_progress += 1
 
-    def defer(self, slot: Slot, until: dt.timedelta) -> None:
+    def defer(self, queued: QueuedItem, until: dt.timedelta) -> None:
         """Keep the first item of the queue from starting for a while.
 
         Parameters
         ----------
-        slot
+        queued
             The first item.
         until
             The monotonic time from which the item may start.
         """
         first = heapq.heappop(self._waiting)
-        assert first[1] == slot.spec.item, first
-        heapq.heappush(self._delayed, (until, slot.order, slot.spec.item))
+        assert first[1] == queued.spec.item, first
+        heapq.heappush(self._delayed, (until, queued.order, queued.spec.item))
 
-    def generated(self, item: ItemId) -> None:
+    def mark_generated(self, item: ItemId) -> None:
         """Record that the text of an item is complete, without a score.
 
         The item does not run again.
         """
-        slot = self._items[item]
-        slot.running = max(slot.running - 1, 0)
-        slot.generated = True
+        queued = self._items[item]
+        queued.runs_in_progress = max(queued.runs_in_progress - 1, 0)
+        queued.is_generated = True
 
-    def finish(self, result: ItemResult) -> None:
+    def record_result(self, result: ItemResult) -> None:
         """Record the result of an item; ignore it if the item has one."""
-        slot = self._items[result.item]
-        slot.running = max(slot.running - 1, 0)
-        if slot.result is None:
-            self._group_results.setdefault(slot.spec.group, []).append(result)
-            self._close(slot, result)
-
-    def give_back(
-        self, item: ItemId, end: RunEnd, where: UpstreamId, now: dt.timedelta
+        queued = self._items[result.item]
+        queued.runs_in_progress = max(queued.runs_in_progress - 1, 0)
+        if queued.result is None:
+            self._group_results.setdefault(queued.spec.group, []).append(result)
+            self._close(queued, result)
+
+    def requeue_item(
+        self, item: ItemId, end: RunEnd, upstream: UpstreamId, now: dt.timedelta
     ) -> None:
         """Queue an item again whose run ended without a text.
 
@@ -192,27 +192,29 @@
             The item.
         end
             Why the run gave no text.
-        where
+        upstream
             The upstream that the item ran at.
         now
             The monotonic time.
         """
-        slot = self._items[item]
-        slot.running = max(slot.running - 1, 0)
-        if slot.result is not None:
+        queued = self._items[item]
+        queued.runs_in_progress = max(queued.runs_in_progress - 1, 0)
+        if queued.result is not None:
             return
-        if _is_lost_after(slot, end, self.max_failures):
-            self.finish(ItemResult(item, ItemState.LOST))
+        if _is_lost_after(queued, end, self.max_failures):
+            self.record_result(ItemResult(item, ItemState.LOST))
             return
         if end in {RunEnd.FAILED, RunEnd.BROKEN, RunEnd.MOVED}:
-            slot.avoid = frozenset((where,))
-        pause_s = _RETRY_PAUSES_S[min(slot.failures, len(_RETRY_PAUSES_S) - 1)]
+            queued.avoid = frozenset((upstream,))
+        pause_s = _RETRY_PAUSES_S[
+            min(queued.failures, len(_RETRY_PAUSES_S) - 1)
+        ]
         if pause_s:
             ready_at = now + type(now)(seconds=pause_s)
-            heapq.heappush(self._delayed, (ready_at, slot.order, item))
+            heapq.heappush(self._delayed, (ready_at, queued.order, item))
         else:
             # A slot is reserved for an item that moves, so it starts first.
-            order = _MOVED_ITEM_ORDER if end is RunEnd.MOVED else slot.order
+            order = _MOVED_ITEM_ORDER if end is RunEnd.MOVED else queued.order
             heapq.heappush(self._waiting, (order, item))
 
     def open_in_group(self, group: GroupId) -> int:
@@ -226,7 +228,7 @@
             group for group, count in self._open_in_group.items() if count
         )
 
-    def unlisted(self) -> Iterator[ItemResult]:
+    def completed_in_open_groups(self) -> Iterator[ItemResult]:
         """Return the completed results that wait for their group."""
         for results in self._group_results.values():
             yield from (
@@ -235,13 +237,13 @@
                 if result.state is ItemState.COMPLETED
             )
 
-    def give_up(self) -> None:
+    def mark_open_items_lost(self) -> None:
         """Record every item without a result as lost."""
-        for slot in self._items.values():
-            if slot.result is None:
-                self.finish(ItemResult(slot.spec.item, ItemState.LOST))
+        for queued in self._items.values():
+            if queued.result is None:
+                self.record_result(ItemResult(queued.spec.item, ItemState.LOST))
 
-    def take_finished(self, limit_bytes: int) -> tuple[ItemResult, ...]:
+    def pop_results_to_store(self, limit_bytes: int) -> tuple[ItemResult, ...]:
         """Remove and return results of complete groups, to store together.
 
         Parameters
@@ -261,11 +263,11 @@
         self._finished = self._finished[count:]
         return batch
 
-    def stored(self, result: ItemResult) -> None:
+    def mark_stored(self, result: ItemResult) -> None:
         """Record a result that another process has stored."""
-        slot = self._items.get(result.item)
-        if slot is not None and slot.result is None:
-            self._close(slot, result)
+        queued = self._items.get(result.item)
+        if queued is not None and queued.result is None:
+            self._close(queued, result)
 
     def body_of(self, item: ItemId) -> bytes | None:
         """Return the request body of an item, or ``None``.
@@ -273,14 +275,14 @@
         ``None`` means that the job has no such item, or that its result was
         stored before this object was created.
         """
-        slot = self._items.get(item)
-        return None if slot is None else slot.spec.body
+        queued = self._items.get(item)
+        return None if queued is None else queued.spec.body
 
-    def _close(self, slot: Slot, result: ItemResult) -> None:
+    def _close(self, queued: QueuedItem, result: ItemResult) -> None:
         """Set the result of an item; release its group if it is complete."""
-        slot.result = result
+        queued.result = result
         self.open_items -= 1
-        group = slot.spec.group
+        group = queued.spec.group
         self._open_in_group[group] -= 1
         if not self._open_in_group[group]:
             self._finished.extend(self._group_results.pop(group, ()))
@@ -297,13 +299,13 @@
         heapq.heappush(waiting, (order, item))
 
 
-def _is_lost_after(slot: Slot, end: RunEnd, max_failures: int) -> bool:
+def _is_lost_after(queued: QueuedItem, end: RunEnd, max_failures: int) -> bool:
     """Count the run if it failed; return whether the item is lost."""
     if end is RunEnd.IMPOSSIBLE:
         return True
     if end is RunEnd.FAILED:
-        slot.failures += 1
-    return slot.failures >= max_failures
+        queued.failures += 1
+    return queued.failures >= max_failures
 
 
 def _long_items_first(items: tuple[ItemSpec, ...]) -> list[ItemSpec]:
--- a/bergamotdoor/jobs/ledger.py
+++ b/bergamotdoor/jobs/ledger.py
@@ -64,7 +64,7 @@
             self.append(record)
 
     @classmethod
-    def restored(
+    def from_results(
         cls, results: Iterable[ItemResult], next_number: int
     ) -> Ledger:
         """Return a ledger with the content of another process's ledger.
@@ -108,7 +108,7 @@
         """Return those of the results whose items have no position yet."""
         return (result for result in results if result.item not in self._items)
 
-    def behind(self, position: int) -> tuple[ItemResult, ...]:
+    def results_from(self, position: int) -> tuple[ItemResult, ...]:
         """Return all results from a position on."""
         return tuple(self._results[position:])
 
@@ -123,10 +123,10 @@
             How much text the page may hold. The first result is returned
             whatever its size.
         """
-        return tuple(that_fit(self._results[after:], limit_bytes))
+        return tuple(fitting_results(self._results[after:], limit_bytes))
 
 
-def that_fit(
+def fitting_results(
     results: Iterable[ItemResult], limit_bytes: int
 ) -> Iterator[ItemResult]:
     """Yield results until their text exceeds a size limit.
--- a/bergamotdoor/jobs/listing.py
+++ b/bergamotdoor/jobs/listing.py
@@ -38,17 +38,19 @@
     missing: int
 
     @property
-    def reached(self) -> bool:
+    def is_reached(self) -> bool:
         """Whether all groups that the trainer waits for are complete."""
         return self.missing <= 0
 
     @property
-    def near(self) -> bool:
+    def is_near(self) -> bool:
         """Whether only the last groups of the target are missing."""
         return 0 < self.missing <= self.groups * _LAST_GROUPS_SHARE
 
 
-def holds(target: Target, held: dt.timedelta, due_in: dt.timedelta) -> bool:
+def should_hold(
+    target: Target, held_for: dt.timedelta, due_in: dt.timedelta
+) -> bool:
     """Return whether results of complete groups should wait for others.
 
     Failure: results are listed shortly before those that complete the target.
@@ -61,9 +63,9 @@
     ----------
     target
         The groups that the trainer waits for.
-    held
+    held_for
         How long the results have waited.
     due_in
         Time left until the step is due; negative if it is overdue.
     """
-    return target.near and due_in > _ZERO and held < LONGEST_HOLD
+    return target.is_near and due_in > _ZERO and held_for < LONGEST_HOLD
--- a/bergamotdoor/jobs/open_items.py
+++ b/bergamotdoor/jobs/open_items.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from bergamotdoor.jobs.board import JobBoard, RunEnd
+from bergamotdoor.jobs.item_queue import ItemQueue, RunEnd
 from bergamotdoor.jobs.messages import ItemResult, ItemState
 from bergamotdoor.jobs.scoring import (
     ScoreEnd,
     ScoreQueue,
-    restored_text,
-    saved_text,
+    result_from_saved,
+    saved_from_result,
 )
 from bergamotdoor.jobs.transcript import Transcript
 
@@ -26,10 +26,10 @@
     import datetime as dt
     from collections.abc import Callable
 
-    from bergamotdoor.jobs.board import Slot
+    from bergamotdoor.jobs.item_queue import QueuedItem
     from bergamotdoor.jobs.ledger import Ledger
     from bergamotdoor.jobs.messages import JobSpec
-    from bergamotdoor.jobs.scoring import Unscored
+    from bergamotdoor.jobs.scoring import UnscoredText
     from bergamotdoor.jobs.transcript import SavedTranscript
     from bergamotdoor.types import ItemId, UpstreamId
 
@@ -56,9 +56,9 @@
         partial: dict[ItemId, SavedTranscript],
         on_finished: Callable[[], None],
     ) -> None:
-        self.board = JobBoard(spec, ledger)
+        self.item_queue = ItemQueue(spec, ledger)
         #: Complete texts that have no score.
-        self.scores = ScoreQueue()
+        self.score_queue = ScoreQueue()
         self._specs = {item.item: item for item in spec.items}
         self._transcripts: dict[ItemId, Transcript] = {}
         self._on_finished = on_finished
@@ -66,11 +66,11 @@
             if item in self._specs and item not in ledger:
                 self._restore(item, saved)
 
-    def transcript(self, slot: Slot) -> Transcript:
+    def transcript(self, queued: QueuedItem) -> Transcript:
         """Return the transcript of an item; a new one if it has none."""
-        return self._transcripts.setdefault(slot.spec.item, Transcript())
+        return self._transcripts.setdefault(queued.spec.item, Transcript())
 
-    def take_text(self, result: ItemResult, score_failures: int = 0) -> None:
+    def record_text(self, result: ItemResult, score_failures: int = 0) -> None:
         """Record the complete text of an item, which may still need a score.
 
         Parameters
@@ -85,39 +85,47 @@
         if spec.score_call is None or result.score:
             self._finish(result)
         else:
-            self.board.generated(result.item)
-            self.scores.add(spec, result, score_failures)
+            self.item_queue.mark_generated(result.item)
+            self.score_queue.add(spec, result, score_failures)
 
-    def give_back(
-        self, slot: Slot, end: RunEnd, where: UpstreamId, now: dt.timedelta
+    def requeue_item(
+        self,
+        queued: QueuedItem,
+        end: RunEnd,
+        upstream: UpstreamId,
+        now: dt.timedelta,
     ) -> None:
         """Queue an item again whose run ended without a text, or lose it.
 
         Parameters
         ----------
-        slot
+        queued
             The item.
         end
             Why the run gave no text.
-        where
+        upstream
             The upstream that the item ran at.
         now
             The monotonic time.
         """
-        item = slot.spec.item
+        item = queued.spec.item
         if end in {RunEnd.TOO_OLD, RunEnd.FAILED}:
             # The text so far cannot be used; another engine starts anew.
             self._transcripts.pop(item, None)
-        self.board.give_back(item, end, where, now)
+        self.item_queue.requeue_item(item, end, upstream, now)
         self._notify_finished()
 
-    def take_score(self, text: Unscored, score: str) -> None:
+    def record_score(self, text: UnscoredText, score: str) -> None:
         """Record the score of a text, which completes its item."""
-        self.scores.drop(text.spec.item)
+        self.score_queue.drop(text.spec.item)
         self._finish(msgspec.structs.replace(text.result, score=score))
 
-    def give_back_score(
-        self, text: Unscored, failures: int, most: int, now: dt.timedelta
+    def record_failed_score_call(
+        self,
+        text: UnscoredText,
+        failures: int,
+        max_failures: int,
+        now: dt.timedelta,
     ) -> None:
         """Record that a call gave no score; retry it or lose the item.
 
@@ -127,61 +135,67 @@
             The text without a score.
         failures
             How many upstreams answered this call with a failure.
-        most
+        max_failures
             Number of failures of a text after which its item is lost.
         now
             The monotonic time.
         """
-        end = self.scores.give_back(text, failures, most, now)
+        end = self.score_queue.record_failed_call(
+            text, failures, max_failures, now
+        )
         if end is ScoreEnd.HOPELESS:
-            self.scores.drop(text.spec.item)
+            self.score_queue.drop(text.spec.item)
             self._finish(ItemResult(text.spec.item, ItemState.LOST))
 
-    def stored(self, result: ItemResult) -> None:
+    def mark_stored(self, result: ItemResult) -> None:
         """Record that a result has a position, whichever owner stored it."""
-        self.scores.drop(result.item)
-        self.board.stored(result)
+        self.score_queue.drop(result.item)
+        self.item_queue.mark_stored(result)
 
-    def give_up(self) -> None:
+    def mark_open_items_lost(self) -> None:
         """Record every item without a result as lost."""
-        for text in tuple(self.scores):
-            self.scores.drop(text.spec.item)
-        self.board.give_up()
+        for text in tuple(self.score_queue):
+            self.score_queue.drop(text.spec.item)
+        self.item_queue.mark_open_items_lost()
         self._notify_finished()
 
-    def saved(self, least_events: int) -> dict[ItemId, SavedTranscript]:
+    def saved_transcripts(
+        self, min_events: int
+    ) -> dict[ItemId, SavedTranscript]:
         """Return the texts from which the next owner can continue, by item.
 
         Parameters
         ----------
-        least_events
+        min_events
             Minimum number of events of a text that is not complete. Shorter
             ones are left out.
         """
         saved = {
-            item: transcript.saved()
+            item: transcript.to_saved()
             for item, transcript in self._transcripts.items()
-            if transcript.count >= least_events
+            if transcript.event_count >= min_events
         }
-        saved.update((one.spec.item, one.saved()) for one in self.scores)
         saved.update(
-            (result.item, saved_text(result))
-            for result in self.board.unlisted()
+            (one.spec.item, one.to_saved()) for one in self.score_queue
+        )
+        saved.update(
+            (result.item, saved_from_result(result))
+            for result in self.item_queue.completed_in_open_groups()
         )
         return saved
 
     def _restore(self, item: ItemId, saved: SavedTranscript) -> None:
         if saved.whole:
-            text = restored_text(item, saved)
-            self.take_text(text, saved.score_failures)
+            text = result_from_saved(item, saved)
+            self.record_text(text, saved.score_failures)
         else:
-            self._transcripts[item] = Transcript.restored(saved)
+            self._transcripts[item] = Transcript.from_saved(saved)
 
     def _finish(self, result: ItemResult) -> None:
         """Record a result; it is listed once its group is complete."""
-        self.board.finish(result)
+        self.item_queue.record_result(result)
         self._notify_finished()
 
     def _notify_finished(self) -> None:
-        if self.board.has_finished:
+        if self.item_queue.has_results_to_store:
             self._on_finished()
--- a/bergamotdoor/jobs/placement.py
+++ b/bergamotdoor/jobs/placement.py
@@ -30,7 +30,7 @@
     candidates: Sequence[Upstream],
     loads: Loads,
     speeds: Speeds,
-    home: UpstreamId | None,
+    prompt_upstream: UpstreamId | None,
     avoid: frozenset[UpstreamId],
     now: dt.timedelta,
 ) -> Upstream | None:
@@ -44,7 +44,7 @@
         Load and health of the engines.
     speeds
         Event intervals of the engines.
-    home
+    prompt_upstream
         The engine that has the prompt of the item's group in its cache.
     avoid
         Engines where the item's last run broke, failed or was moved away.
@@ -58,7 +58,9 @@
         for one in preferred or candidates
         if free_slots(one, loads, now) > 0
     ]
-    with_prompt = next((one for one in free if one.upstream == home), None)
+    with_prompt = next(
+        (one for one in free if one.upstream == prompt_upstream), None
+    )
     if with_prompt is not None and _has_low_load(with_prompt, free, loads, now):
         return with_prompt
     return min(
--- a/bergamotdoor/jobs/progress.py
+++ b/bergamotdoor/jobs/progress.py
@@ -25,11 +25,11 @@
 #: arrive every 40 ms. An engine that stays silent for longer than this
 #: either loads weights, which takes three times as long, or hangs.
 _STALL_TIMEOUT_MS: Final = 350
-STALL: Final = dt.timedelta(milliseconds=_STALL_TIMEOUT_MS)
+STALL_TIMEOUT: Final = dt.timedelta(milliseconds=_STALL_TIMEOUT_MS)
 #: An item is also stalled if the first event of its run takes longer than
 #: this: the engine first reads the prompt, and the item may wait for a slot.
 _FIRST_EVENT_TIMEOUT_MS: Final = 700
-FIRST_STALL: Final = dt.timedelta(milliseconds=_FIRST_EVENT_TIMEOUT_MS)
+FIRST_EVENT_TIMEOUT: Final = dt.timedelta(milliseconds=_FIRST_EVENT_TIMEOUT_MS)
 #: An item moves if that gains more time than this. A move costs a connection
 #: and the reading of a prompt of some thousand tokens, about 30 ms. A
 #: smaller gain does not justify the disturbance.
@@ -70,7 +70,7 @@
         Monotonic time at which the run began.
     expected_events
         Expected number of events of the item, over all of its runs.
-    first_event
+    events_before
         Number of events that the item had before this run.
     most_events
         Maximum number of events of the item; 0 if it is not known.
@@ -82,20 +82,20 @@
         upstream: UpstreamId,
         started_at: dt.timedelta,
         expected_events: float,
-        first_event: int = 0,
+        events_before: int = 0,
         most_events: float = 0,
     ) -> None:
         self.item = item
         self.upstream = upstream
         self.started_at = started_at
-        self.first_event = first_event
+        self.events_before = events_before
         #: Number of events of the item so far, over all of its runs.
-        self.events = first_event
+        self.events = events_before
         self.last_event_at: dt.timedelta | None = None
         self._expected_events = expected_events
         self._most_events = most_events
         #: Number of events when the current sample began.
-        self._sampled_events = first_event
+        self._sampled_events = events_before
         #: Monotonic time at which the current sample began.
         self._sampled_at: dt.timedelta | None = None
         #: Measured event intervals that the engine's speed does not include
@@ -115,7 +115,11 @@
         before = self.last_event_at
         self.events = events
         self.last_event_at = now
-        if before is None or now - before > STALL or self._sampled_at is None:
+        if (
+            before is None
+            or now - before > STALL_TIMEOUT
+            or self._sampled_at is None
+        ):
             # A wait for the prompt, a slot or weights is not an event
             # interval.
             self._start_sample(now)
@@ -126,19 +130,19 @@
             self._new_intervals_s.append(took.total_seconds() / count)
             self._start_sample(now)
 
-    def take_paces(self) -> Iterator[float]:
+    def pop_intervals_s(self) -> Iterator[float]:
         """Remove and yield the measured event intervals, in seconds."""
         while self._new_intervals_s:
             yield self._new_intervals_s.pop(0)
 
-    def stalled(self, now: dt.timedelta) -> bool:
+    def is_stalled(self, now: dt.timedelta) -> bool:
         """Return whether the next event is overdue."""
         if self.last_event_at is None:
-            return now - self.started_at > FIRST_STALL
-        return now - self.last_event_at > STALL
+            return now - self.started_at > FIRST_EVENT_TIMEOUT
+        return now - self.last_event_at > STALL_TIMEOUT
 
     @property
-    def remaining(self) -> float:
+    def remaining_events(self) -> float:
         """Expected number of events that the item still lacks.
 
         One item in fourteen reaches its maximum length, and so do most of
@@ -162,7 +166,7 @@
     def __init__(self) -> None:
         self._intervals_s: dict[UpstreamId, float] = {}
 
-    def learn(self, progress: Progress) -> None:
+    def add_intervals(self, progress: Progress) -> None:
         """Add the event intervals measured since the last call.
 
         Failure: the wait for a prompt, a slot or weights counts as an event
@@ -176,7 +180,7 @@
         progress
             A run, whose measured intervals are removed from it.
         """
-        for interval_s in progress.take_paces():
+        for interval_s in progress.pop_intervals_s():
             known_s = self._intervals_s.get(progress.upstream, interval_s)
             self._intervals_s[progress.upstream] = known_s + _NEWEST_WEIGHT * (
                 interval_s - known_s
@@ -205,14 +209,14 @@
 
     item: ItemId
     #: Whether the item is stalled; otherwise its engine is slow. For the log.
-    stalled: bool
+    is_stalled: bool
     #: The engine at which the item continues.
-    goal: UpstreamId
+    destination: UpstreamId
 
 
-def moves(
+def choose_moves(
     running: Iterable[Progress],
-    room: Mapping[UpstreamId, int],
+    free_slots: Mapping[UpstreamId, int],
     speeds: Speeds,
     now: dt.timedelta,
 ) -> Iterator[Move]:
@@ -226,7 +230,7 @@
     ----------
     running
         Runs in progress.
-    room
+    free_slots
         Number of free slots of each engine that accepts an item.
     speeds
         Event intervals of the engines.
@@ -234,10 +238,10 @@
         The monotonic time.
     """
     movable = [one for one in running if now - one.started_at > LEAST_STAY]
-    stalled_upstreams = {one.upstream for one in movable if one.stalled(now)}
+    stalled_upstreams = {one.upstream for one in movable if one.is_stalled(now)}
     slots_by_speed = sorted(
         (speeds.interval_s(name), name)
-        for name, free in room.items()
+        for name, free in free_slots.items()
         if name not in stalled_upstreams
         for _ in range(free)
     )
@@ -245,7 +249,7 @@
         if not slots_by_speed:
             return
         interval_s, fastest = slots_by_speed[0]
-        stalled = progress.stalled(now)
+        stalled = progress.is_stalled(now)
         gains = _time_gained(progress, speeds, interval_s) > LEAST_GAIN
         if fastest != progress.upstream and (stalled or gains):
             slots_by_speed.pop(0)
@@ -253,7 +257,7 @@
 
 
 def _remaining_events(progress: Progress) -> float:
-    return progress.remaining
+    return progress.remaining_events
 
 
 def _time_gained(
@@ -267,4 +271,4 @@
     if own_s < interval_s * _LEAST_RATIO:
         return dt.timedelta()
     slower_s = own_s - interval_s
-    return dt.timedelta(seconds=progress.remaining * slower_s)
+    return dt.timedelta(seconds=progress.remaining_events * slower_s)
--- a/bergamotdoor/jobs/reservations.py
+++ b/bergamotdoor/jobs/reservations.py
@@ -24,7 +24,7 @@
 #: milliseconds. The limit frees the slot of an item that ended meanwhile, or
 #: whose job ended.
 _RESERVATION_TIMEOUT_MS: Final = 200
-KEPT: Final = dt.timedelta(milliseconds=_RESERVATION_TIMEOUT_MS)
+RESERVATION_TIMEOUT: Final = dt.timedelta(milliseconds=_RESERVATION_TIMEOUT_MS)
 
 
 class _Reservation(msgspec.Struct, frozen=True):
@@ -45,15 +45,17 @@
         self._loads = loads
         self._reservations: dict[ItemId, _Reservation] = {}
 
-    def keep(
+    def reserve_slot(
         self, item: ItemId, upstream: UpstreamId, now: dt.timedelta
     ) -> None:
         """Reserve a slot for an item, in place of an earlier reservation."""
-        self.take(item)
-        self._reservations[item] = _Reservation(upstream, now + KEPT)
+        self.release_slot(item)
+        self._reservations[item] = _Reservation(
+            upstream, now + RESERVATION_TIMEOUT
+        )
         self._loads.of(upstream).reserved_slots += 1
 
-    def take(self, item: ItemId) -> UpstreamId | None:
+    def release_slot(self, item: ItemId) -> UpstreamId | None:
         """Remove the reservation of an item and return its engine, if any."""
         found = self._reservations.pop(item, None)
         if found is None:
@@ -64,10 +66,10 @@
         load.reserved_slots = max(load.reserved_slots - 1, 0)
         return found.upstream
 
-    def expire(self, now: dt.timedelta) -> None:
+    def release_expired(self, now: dt.timedelta) -> None:
         """Remove the reservations of items that did not start in time."""
         expired = [
             item for item, one in self._reservations.items() if now >= one.until
         ]
         for item in expired:
-            self.take(item)
+            self.release_slot(item)
--- a/bergamotdoor/jobs/scoring.py
+++ b/bergamotdoor/jobs/scoring.py
@@ -56,7 +56,7 @@
     HOPELESS = 'hopeless'
 
 
-class Unscored(msgspec.Struct):
+class UnscoredText(msgspec.Struct):
     """Complete text that has no score yet."""
 
     spec: ItemSpec
@@ -69,24 +69,24 @@
     #: Monotonic time from which the next call may be sent.
     ready_at: dt.timedelta = dt.timedelta()
     #: Whether a call is in progress.
-    running: bool = False
+    is_running: bool = False
 
-    def saved(self) -> SavedTranscript:
+    def to_saved(self) -> SavedTranscript:
         """Return the stored form, from which another owner can continue."""
-        return saved_text(self.result, self.failures)
+        return saved_from_result(self.result, self.failures)
 
 
 class ScoreQueue:
     """Complete texts of one job that have no score yet."""
 
     def __init__(self) -> None:
-        self._texts: dict[ItemId, Unscored] = {}
+        self._texts: dict[ItemId, UnscoredText] = {}
 
     def __len__(self) -> int:
         """Return how many texts have no score."""
         return len(self._texts)
 
-    def __iter__(self) -> Iterator[Unscored]:
+    def __iter__(self) -> Iterator[UnscoredText]:
         """Return an iterator over the texts that have no score."""
         return iter(self._texts.values())
 
@@ -107,16 +107,16 @@
         """
         assert spec.score_call is not None, spec.item
         self._texts.setdefault(
-            spec.item, Unscored(spec, spec.score_call, result, failures)
+            spec.item, UnscoredText(spec, spec.score_call, result, failures)
         )
 
     def drop(self, item: ItemId) -> None:
         """Remove an item that has its final result, if it is in the queue."""
         self._texts.pop(item, None)
 
-    def ready(
+    def ready_texts(
         self, open_in_group: Callable[[GroupId], int], now: dt.timedelta
-    ) -> list[Unscored]:
+    ) -> list[UnscoredText]:
         """Return the texts whose call may be sent now, in order of urgency.
 
         Parameters
@@ -129,12 +129,16 @@
         ready = [
             one
             for one in self._texts.values()
-            if not one.running and one.ready_at <= now
+            if not one.is_running and one.ready_at <= now
         ]
         return sorted(ready, key=lambda one: open_in_group(one.spec.group))
 
-    def give_back(
-        self, text: Unscored, failures: int, most: int, now: dt.timedelta
+    def record_failed_call(
+        self,
+        text: UnscoredText,
+        failures: int,
+        max_failures: int,
+        now: dt.timedelta,
     ) -> ScoreEnd:
         """Record that a call gave no score, and schedule the next one.
 
@@ -149,7 +153,7 @@
             The text without a score.
         failures
             How many upstreams answered this call with a failure.
-        most
+        max_failures
             Number of failures of a text after which no call is sent again.
         now
             The monotonic time.
@@ -159,9 +163,9 @@
         ScoreEnd
             ``HOPELESS`` if no call is sent again, otherwise ``UNANSWERED``.
         """
-        text.running = False
+        text.is_running = False
         text.failures += failures
-        if text.failures >= most:
+        if text.failures >= max_failures:
             return ScoreEnd.HOPELESS
         pause_s = _RETRY_PAUSES_S[min(text.tries, len(_RETRY_PAUSES_S) - 1)]
         text.tries += 1
@@ -169,7 +173,9 @@
         return ScoreEnd.UNANSWERED
 
 
-def saved_text(result: ItemResult, score_failures: int = 0) -> SavedTranscript:
+def saved_from_result(
+    result: ItemResult, score_failures: int = 0
+) -> SavedTranscript:
     """Return a complete text as it is stored for the next owner.
 
     Parameters
@@ -190,7 +196,7 @@
     )
 
 
-def restored_text(item: ItemId, saved: SavedTranscript) -> ItemResult:
+def result_from_saved(item: ItemId, saved: SavedTranscript) -> ItemResult:
     """Return the result of a complete text that an earlier owner stored."""
     text = '\n'.join(saved.texts)
     return ItemResult(
@@ -198,8 +204,11 @@
     )
 
 
-def score_room(
-    upstreams: Iterable[Upstream], loads: Loads, own: int, now: dt.timedelta
+def free_score_slots(
+    upstreams: Iterable[Upstream],
+    loads: Loads,
+    own_calls: int,
+    now: dt.timedelta,
 ) -> int:
     """Return how many more score calls may be sent to a service now.
 
@@ -211,13 +220,13 @@
         Upstreams of the service that accept new requests.
     loads
         Load and health of the upstreams.
-    own
+    own_calls
         Number of score calls of this process to the service in progress.
     now
         The monotonic time.
     """
     slots = sum(_slots_for_scoring(one, loads, now) for one in upstreams)
-    return max(slots, _PROBE_CALLS) - own
+    return max(slots, _PROBE_CALLS) - own_calls
 
 
 def _slots_for_scoring(
--- a/bergamotdoor/jobs/transcript.py
+++ b/bergamotdoor/jobs/transcript.py
@@ -59,7 +59,7 @@
         self.last_number: int | None = None
 
     @classmethod
-    def restored(cls, saved: SavedTranscript) -> Transcript:
+    def from_saved(cls, saved: SavedTranscript) -> Transcript:
         """Return the transcript that an earlier owner of the job stored."""
         transcript = cls()
         transcript._texts = list(saved.texts)
@@ -67,7 +67,7 @@
         transcript.last_number = saved.last_number
         return transcript
 
-    def saved(self) -> SavedTranscript:
+    def to_saved(self) -> SavedTranscript:
         """Return this transcript in its stored form.
 
         The transcript must have at least one event.
@@ -83,7 +83,7 @@
         return tuple(sorted(self._versions))
 
     @property
-    def count(self) -> int:
+    def event_count(self) -> int:
         """Number of events."""
         return len(self._texts)
 
@@ -112,16 +112,18 @@
         self._versions.add(self._current_version)
         return True
 
-    def fits(self, oldest: WeightVersion, single: bool) -> bool:
+    def has_accepted_versions(
+        self, min_version: WeightVersion, single_version: bool
+    ) -> bool:
         """Return whether a job accepts the versions of this transcript.
 
         Parameters
         ----------
-        oldest
+        min_version
             The oldest weight version that the job accepts.
-        single
+        single_version
             Whether the job accepts only texts from a single version.
         """
-        if any(version < oldest for version in self._versions):
+        if any(version < min_version for version in self._versions):
             return False
-        return not single or len(self._versions) <= 1
+        return not single_version or len(self._versions) <= 1
--- a/bergamotdoor/steps/dispatcher.py
+++ b/bergamotdoor/steps/dispatcher.py
@@ -13,8 +13,8 @@
     Progress,
     Reservations,
     RunEnd,
+    choose_moves,
     free_slots,
-    moves,
     place_item,
 )
 from bergamotdoor.observe.events import Counted
@@ -30,7 +30,7 @@
     from bergamotdoor.calls.manifest import Route
     from bergamotdoor.entry.context import Context
     from bergamotdoor.fleet.upstreams import Upstream
-    from bergamotdoor.jobs import Move, Slot
+    from bergamotdoor.jobs import Move, QueuedItem
     from bergamotdoor.steps.job_run import JobRun
     from bergamotdoor.types import UpstreamId
 
@@ -63,18 +63,18 @@
         """Start waiting items of a job while engines have free slots."""
         now = self._context.clock.elapsed()
         upstreams = self._eligible_engines(run, route)
-        slot = run.items.board.ready(now)
-        while slot is not None:
-            wait = self._suspects.held(run.spec, slot.spec, upstreams, now)
+        queued = run.items.item_queue.next_item(now)
+        while queued is not None:
+            wait = self._suspects.held(run.spec, queued.spec, upstreams, now)
             if wait:
-                run.items.board.defer(slot, now + wait)
+                run.items.item_queue.defer(queued, now + wait)
             else:
-                upstream = self._choose_engine(run, slot, upstreams, now)
+                upstream = self._choose_engine(run, queued, upstreams, now)
                 if upstream is None:
                     return
-                run.items.board.start(slot)
-                self._start_item(run, route, slot, upstream)
-            slot = run.items.board.ready(now)
+                run.items.item_queue.start(queued)
+                self._start_item(run, route, queued, upstream)
+            queued = run.items.item_queue.next_item(now)
 
     def move_items(self, run: JobRun, route: Route) -> None:
         """Cancel the runs of items that should continue at another engine.
@@ -83,7 +83,7 @@
         it.
         """
         now = self._context.clock.elapsed()
-        self._reservations.expire(now)
+        self._reservations.release_expired(now)
         # A cancelled run stays in `running` until its connection is closed.
         # It must not be moved a second time.
         progresses = [
@@ -92,13 +92,15 @@
             if not item.task.cancelling()
         ]
         for progress in progresses:
-            self._context.speeds.learn(progress)
-        room: dict[UpstreamId, int] = {}
+            self._context.speeds.add_intervals(progress)
+        free_by_engine: dict[UpstreamId, int] = {}
         for upstream in self._eligible_engines(run, route):
             free = free_slots(upstream, self._context.loads, now)
             if free > 0:
-                room[upstream.upstream] = free
-        for move in moves(progresses, room, self._context.speeds, now):
+                free_by_engine[upstream.upstream] = free
+        for move in choose_moves(
+            progresses, free_by_engine, self._context.speeds, now
+        ):
             self._move_item(run, move)
 
     def _eligible_engines(
@@ -116,7 +118,7 @@
     def _choose_engine(
         self,
         run: JobRun,
-        slot: Slot,
+        queued: QueuedItem,
         upstreams: tuple[Upstream, ...],
         now: dt.timedelta,
     ) -> Upstream | None:
@@ -124,10 +126,10 @@
 
         A reserved slot has priority.
         """
-        if self._suspects.runs_apart(run.spec, slot.spec):
+        if self._suspects.runs_apart(run.spec, queued.spec):
             upstreams = self._suspects.without_others(upstreams)
-        group = slot.spec.group
-        reserved = self._reservations.take(slot.spec.item)
+        group = queued.spec.group
+        reserved = self._reservations.release_slot(queued.spec.item)
         chosen = next(
             (one for one in upstreams if one.upstream == reserved), None
         )
@@ -137,42 +139,44 @@
             upstreams,
             self._context.loads,
             self._context.speeds,
-            run.items.board.homes.get(group),
-            slot.avoid,
+            run.items.item_queue.prompt_upstreams.get(group),
+            queued.avoid,
             now,
         )
         if chosen is not None:
-            run.items.board.homes[group] = chosen.upstream
+            run.items.item_queue.prompt_upstreams[group] = chosen.upstream
         return chosen
 
     def _start_item(
-        self, run: JobRun, route: Route, slot: Slot, upstream: Upstream
+        self, run: JobRun, route: Route, queued: QueuedItem, upstream: Upstream
     ) -> None:
         now = self._context.clock.elapsed()
-        transcript = run.items.transcript(slot)
+        transcript = run.items.transcript(queued)
         progress = Progress(
-            slot.spec.item,
+            queued.spec.item,
             upstream.upstream,
             now,
-            slot.spec.expected_tokens / TOKENS_PER_EVENT,
-            transcript.count,
-            slot.spec.most_tokens / TOKENS_PER_EVENT,
+            queued.spec.expected_tokens / TOKENS_PER_EVENT,
+            transcript.event_count,
+            queued.spec.most_tokens / TOKENS_PER_EVENT,
         )
         item = ItemRun(
-            run.spec, slot.spec, route, upstream, transcript, progress
+            run.spec, queued.spec, route, upstream, transcript, progress
         )
         # Counted before the task starts, so that the next choice of an engine
         # includes this run.
-        self._suspects.enter(run.spec, slot.spec, upstream.upstream)
+        self._suspects.enter(run.spec, queued.spec, upstream.upstream)
         load = self._context.loads.of(upstream.upstream)
         load.record_sent(now)
-        task = start_counted(load, self._run_item(run, slot, item))
+        task = start_counted(load, self._run_item(run, queued, item))
         # Added after the callback that counts the slot as free, so it runs
         # after that one.
         task.add_done_callback(lambda _: self._on_item_end())
-        run.running[slot.spec.item] = RunningItem(progress, task)
+        run.running[queued.spec.item] = RunningItem(progress, task)
 
-    async def _run_item(self, run: JobRun, slot: Slot, item: ItemRun) -> None:
+    async def _run_item(
+        self, run: JobRun, queued: QueuedItem, item: ItemRun
+    ) -> None:
         upstream = item.upstream.upstream
         try:
             end = await run_item(self._context, item)
@@ -183,20 +187,20 @@
         finally:
             self._remove_run(run, item)
         if isinstance(end, ItemResult):
-            run.items.take_text(end)
+            run.items.record_text(end)
         else:
             now = self._context.clock.elapsed()
-            run.items.give_back(slot, end, upstream, now)
+            run.items.requeue_item(queued, end, upstream, now)
 
     def _remove_run(self, run: JobRun, item: ItemRun) -> None:
         run.running.pop(item.spec.item, None)
         self._suspects.leave(item.spec.item)
-        self._context.speeds.learn(item.progress)
+        self._context.speeds.add_intervals(item.progress)
 
     def _move_item(self, run: JobRun, move: Move) -> None:
         item = run.running[move.item]
         now = self._context.clock.elapsed()
-        self._reservations.keep(move.item, move.goal, now)
+        self._reservations.reserve_slot(move.item, move.destination, now)
         self._context.metrics.count(Counted.ITEM_MOVED)
         _log.info(
             'gateway: item %s of job %s leaves %s after %d events: %s',
@@ -204,6 +208,6 @@
             run.spec.job,
             item.progress.upstream,
             item.progress.events,
-            'stalled' if move.stalled else 'slow',
+            'stalled' if move.is_stalled else 'slow',
         )
         item.task.cancel()
--- a/bergamotdoor/steps/hand_over.py
+++ b/bergamotdoor/steps/hand_over.py
@@ -105,9 +105,9 @@
         record=run.found.record,
         revision=run.found.revision,
         spec=run.spec,
-        results=run.ledger.behind(0),
+        results=run.ledger.results_from(0),
         next_number=run.ledger.next_number,
-        partial=run.items.saved(1),
+        partial=run.items.saved_transcripts(1),
     )
 
 
@@ -120,5 +120,5 @@
 
 def loaded_in(message: TakeOver) -> LoadedJob:
     """Return the job's body, results and partial transcripts of a message."""
-    ledger = Ledger.restored(message.results, message.next_number)
+    ledger = Ledger.from_results(message.results, message.next_number)
     return LoadedJob(message.spec, ledger, message.partial)
--- a/bergamotdoor/steps/item_outcome.py
+++ b/bergamotdoor/steps/item_outcome.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING, Final
 
-from bergamotdoor.jobs.board import RunEnd
+from bergamotdoor.jobs.item_queue import RunEnd
 from bergamotdoor.jobs.messages import ItemResult
 from bergamotdoor.observe.events import Counted
 from bergamotdoor.observe.metrics import Stage
--- a/bergamotdoor/steps/item_run.py
+++ b/bergamotdoor/steps/item_run.py
@@ -10,8 +10,8 @@
 from bergamotdoor.forwarding.upstream_end import note_end
 from bergamotdoor.http.messages import BodyBrokenError, ClientResponse
 from bergamotdoor.http.sending import send
-from bergamotdoor.jobs.board import RunEnd
 from bergamotdoor.jobs.event_stream import EventReader
+from bergamotdoor.jobs.item_queue import RunEnd
 from bergamotdoor.jobs.messages import ItemResult, ItemState
 from bergamotdoor.platform import headers as names
 from bergamotdoor.steps.item_outcome import note_outcome
@@ -58,7 +58,7 @@
         run.upstream.upstream,
         end.value if isinstance(end, RunEnd) else end.state.value,
         utils.to_ms(now - started_at),
-        run.transcript.count,
+        run.transcript.event_count,
         load.in_flight,
     )
     note_outcome(context, run, end, now - started_at)
@@ -153,7 +153,9 @@
             error,
         )
         return RunEnd.BROKEN
-    if not run.transcript.fits(run.job.min_version, run.route.single_version):
+    if not run.transcript.has_accepted_versions(
+        run.job.min_version, run.route.single_version
+    ):
         return RunEnd.TOO_OLD
     return ItemResult(
         run.spec.item,
@@ -180,4 +182,4 @@
             context.fleet.record_version(
                 run.upstream.upstream, run.job.model, event.version
             )
-    run.progress.advance(run.transcript.count, context.clock.elapsed())
+    run.progress.advance(run.transcript.event_count, context.clock.elapsed())
--- a/bergamotdoor/steps/job_keeper.py
+++ b/bergamotdoor/steps/job_keeper.py
@@ -41,7 +41,7 @@
     last_saved: dict[ItemId, SavedTranscript] = {}
     while run.active:
         await clock.sleep(_SAVE_INTERVAL)
-        saved = run.items.saved(_MIN_EVENTS)
+        saved = run.items.saved_transcripts(_MIN_EVENTS)
         if run.active and _count_new_events(saved, last_saved) >= _MIN_EVENTS:
             last_saved = saved
             await store.keep_partial(run.spec.job, saved)
--- a/bergamotdoor/steps/job_run.py
+++ b/bergamotdoor/steps/job_run.py
@@ -127,7 +127,7 @@
     def active(self) -> bool:
         """Whether the job runs here and has items without a result."""
         running = self.state is RunState.RUNNING
-        return running and self.items.board.open_items > 0
+        return running and self.items.item_queue.open_items > 0
 
     @property
     def ended(self) -> bool:
@@ -141,7 +141,7 @@
 
     def give_up(self) -> None:
         """Finish every item that has no result as lost."""
-        self.items.give_up()
+        self.items.mark_open_items_lost()
         self._cancel_all()
         self.finished.set()
 
@@ -193,14 +193,14 @@
         before = len(self.ledger)
         known = await self.sync.catch_up(age)
         if len(self.ledger) > before:
-            self.take_results(self.ledger.behind(before))
+            self.take_results(self.ledger.results_from(before))
             self.announce()
         return known
 
     def take_results(self, results: tuple[ItemResult, ...]) -> None:
         """Record results that were listed, by this owner or another one."""
         for result in results:
-            self.items.stored(result)
+            self.items.mark_stored(result)
 
     async def wait_beyond(self, after: int, timeout_s: float) -> None:
         """Wait until a result has a position, every item is listed, or timeout.
--- a/bergamotdoor/steps/jobs_desk.py
+++ b/bergamotdoor/steps/jobs_desk.py
@@ -7,7 +7,7 @@
 import logging
 from typing import TYPE_CHECKING, Final
 
-from bergamotdoor.jobs.ledger import LARGEST_PAGE_BYTES, that_fit
+from bergamotdoor.jobs.ledger import LARGEST_PAGE_BYTES, fitting_results
 from bergamotdoor.peers.messages import (
     ItemBody,
     NotKnown,
@@ -145,7 +145,9 @@
             # Listed results never change, so those in the cache can be
             # returned even if neither the owner nor the store answers.
             return ResultPage(cached.total, cached.results)
-        results = that_fit((*cached.results, *more.results), LARGEST_PAGE_BYTES)
+        results = fitting_results(
+            (*cached.results, *more.results), LARGEST_PAGE_BYTES
+        )
         return ResultPage(more.total, tuple(results))
 
     async def _read_from_owner(
--- a/bergamotdoor/steps/listed_results.py
+++ b/bergamotdoor/steps/listed_results.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from bergamotdoor.jobs.ledger import that_fit
+from bergamotdoor.jobs.ledger import fitting_results
 from bergamotdoor.jobs.messages import ItemResult
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
         if known is None:
             return Shown()
         consecutive = tuple(_consecutive_results(known, after))
-        fitting = tuple(that_fit(consecutive, limit_bytes))
+        fitting = tuple(fitting_results(consecutive, limit_bytes))
         reaches_end = after + len(fitting) >= known.total
         return Shown(
             known.total, fitting, reaches_end or len(fitting) < len(consecutive)
--- a/bergamotdoor/steps/owner.py
+++ b/bergamotdoor/steps/owner.py
@@ -198,7 +198,7 @@
         for run in active:
             route = self._manifests.batch_route(run.spec)
             if route is not None:
-                run.items.board.max_failures = route.max_attempts
+                run.items.item_queue.max_failures = route.max_attempts
                 # Moves come first: a free slot at a fast engine is for an
                 # item that has outgrown its length hint at a slow one. The
                 # job waits longer for that item than for one that has not
--- a/bergamotdoor/steps/result_writer.py
+++ b/bergamotdoor/steps/result_writer.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Final
 
 from bergamotdoor import utils
-from bergamotdoor.jobs.listing import holds
+from bergamotdoor.jobs.listing import should_hold
 from bergamotdoor.steps.job_run import RunState
 from bergamotdoor.steps.target import target_of
 
@@ -63,7 +63,7 @@
             started_at = self._context.clock.elapsed()
             if run.state is not RunState.RUNNING:
                 return
-            if run.items.board.open_items:
+            if run.items.item_queue.open_items:
                 await self._wait_for_batch()
             run.finished.clear()
             await self._store_finished()
@@ -79,7 +79,7 @@
         started_at = clock.elapsed()
         held = dt.timedelta()
         await clock.sleep(GATHER)
-        while holds(self._target, held, run.due_at - clock.elapsed()):
+        while should_hold(self._target, held, run.due_at - clock.elapsed()):
             await clock.sleep(GATHER)
             if run.state is not RunState.RUNNING:
                 return
@@ -96,7 +96,7 @@
             run.spec.job,
             len(run.ledger),
             utils.to_ms(self._context.clock.elapsed() - started_at),
-            'reached' if self._target.reached else 'not reached',
+            'reached' if self._target.is_reached else 'not reached',
         )
 
     async def _store_finished(self) -> None:
@@ -108,8 +108,8 @@
         later.
         """
         run = self._run
-        while run.items.board.has_finished:
-            batch = run.items.board.take_finished(RECORD_BYTES)
+        while run.items.item_queue.has_results_to_store:
+            batch = run.items.item_queue.pop_results_to_store(RECORD_BYTES)
             await self._list_batch(batch)
         run.announce()
 
--- a/bergamotdoor/steps/scorer.py
+++ b/bergamotdoor/steps/scorer.py
@@ -13,7 +13,7 @@
 from bergamotdoor.calls.manifest import Route, pick_service
 from bergamotdoor.forwarding import Attempt, Call, Forwarder
 from bergamotdoor.http.messages import Headers
-from bergamotdoor.jobs import score_room
+from bergamotdoor.jobs import free_score_slots
 from bergamotdoor.platform import headers as names
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 
     from bergamotdoor.entry.context import Context
     from bergamotdoor.entry.views import ManifestView
-    from bergamotdoor.jobs.scoring import Unscored
+    from bergamotdoor.jobs.scoring import UnscoredText
     from bergamotdoor.steps.job_run import JobRun
     from bergamotdoor.types import AccountId, ServiceId
 
@@ -70,27 +70,31 @@
             The jobs, the most urgent first.
         """
         for run in runs:
-            if len(run.items.scores):
+            if len(run.items.score_queue):
                 self._start_job_calls(run)
 
     def _start_job_calls(self, run: JobRun) -> None:
         now = self._context.clock.elapsed()
-        for text in run.items.scores.ready(run.items.board.open_in_group, now):
+        for text in run.items.score_queue.ready_texts(
+            run.items.item_queue.open_in_group, now
+        ):
             route = self._find_route(text)
             if route is not None:
                 self._start_call(run, text, route)
 
-    def _start_call(self, run: JobRun, text: Unscored, route: Route) -> None:
+    def _start_call(
+        self, run: JobRun, text: UnscoredText, route: Route
+    ) -> None:
         service = pick_service(route, self._context.rng.random())
         if not self._has_room(service):
             return
-        text.running = True
+        text.is_running = True
         self._in_flight[service] += 1
         task = asyncio.create_task(self._send_call(run, text, route))
         run.take_scoring(task)
         task.add_done_callback(lambda _: self._end_call(service))
 
-    def _find_route(self, text: Unscored) -> Route | None:
+    def _find_route(self, text: UnscoredText) -> Route | None:
         """Return the route of a call; ``None`` if the manifest has none.
 
         The next manifest may have it: a trainer can name a route that is in
@@ -105,19 +109,21 @@
         upstreams = self._context.fleet.of_service(service)
         now = self._context.clock.elapsed()
         in_flight = self._in_flight[service]
-        return score_room(upstreams, self._context.loads, in_flight, now) > 0
+        return (
+            free_score_slots(upstreams, self._context.loads, in_flight, now) > 0
+        )
 
     async def _send_call(
-        self, run: JobRun, text: Unscored, route: Route
+        self, run: JobRun, text: UnscoredText, route: Route
     ) -> None:
         """Send the score call of a text and record its outcome."""
         call = self._build_call(text, route, run.spec.account)
         outcome = await self._forwarder.forward(call)
         score = _score_of(outcome)
         if score:
-            run.items.take_score(text, score)
+            run.items.record_score(text, score)
             return
-        run.items.give_back_score(
+        run.items.record_failed_score_call(
             text,
             outcome.failures,
             route.max_attempts,
@@ -133,7 +139,7 @@
         )
 
     def _build_call(
-        self, text: Unscored, route: Route, account: AccountId
+        self, text: UnscoredText, route: Route, account: AccountId
     ) -> Call:
         now = self._context.clock.elapsed()
         fields = [
--- a/bergamotdoor/steps/target.py
+++ b/bergamotdoor/steps/target.py
@@ -47,7 +47,7 @@
         The trainer waits for each of these groups. For the rest of the target
         it waits for any of the other groups.
     """
-    open_groups = run.items.board.open_groups
+    open_groups = run.items.item_queue.open_groups
     others = {item.group for item in run.spec.items} - again
     wanted = run.spec.target_groups
     missing_others = wanted - len(again) - len(others - open_groups)
--- a/features/job_scenes.py
+++ b/features/job_scenes.py
@@ -17,7 +17,7 @@
 SHORT_AND_LONG: Final = ([2, 2], [200, 200])
 
 
-def parsed(text: str) -> list[list[int]]:
+def parse_lengths(text: str) -> list[list[int]]:
     """Parse item lengths by group, such as ``2,2 and 200,200``."""
     return [
         [int(length) for length in group.split(',')]
@@ -34,10 +34,10 @@
     }
 
 
-async def handed_in(
+async def submit_job(
     site: Site,
     groups: list[list[int]],
-    least: int = 1,
+    min_version: int = 1,
     score_path: str = '',
 ) -> None:
     """Submit the job and check that it is accepted.
@@ -48,14 +48,16 @@
         The site.
     groups
         Lengths of the items by group, in events.
-    least
+    min_version
         The oldest weight version that the job accepts.
     score_path
         Path of the score calls; empty if the texts need no score.
     """
-    reply = await site.submit('entry-0', JOB, groups, least, score_path)
-    assert reply is not None
-    assert reply.status == 202, reply.status
+    response = await site.submit(
+        'entry-0', JOB, groups, min_version, score_path
+    )
+    assert response is not None
+    assert response.status == 202, response.status
 
 
 def owner_of(site: Site) -> str:
@@ -63,12 +65,12 @@
     return str(site.store.table.specs('jobs')[JOB]['owner'])
 
 
-def other(site: Site, entry: str) -> str:
+def other_entry(site: Site, entry: str) -> str:
     """Return the name of another entry than the given one."""
     return next(name for name in sorted(site.ports) if name != entry)
 
 
-def starts(site: Site, item: str) -> list[dict[str, str]]:
+def run_headers(site: Site, item: str) -> list[dict[str, str]]:
     """Return the headers of each request for an item at the engines."""
     return [
         seen.headers
@@ -78,7 +80,7 @@
     ]
 
 
-def at_work(site: Site) -> list[str]:
+def running_requests(site: Site) -> list[str]:
     """Return the ids of the requests that engines are running."""
     return [
         request
@@ -87,7 +89,7 @@
     ]
 
 
-async def taken_over_by(site: Site, entry: str) -> None:
+async def take_over_at(site: Site, entry: str) -> None:
     """Have an entry take the job over, as if the owner did not answer."""
     finder = site.entries[entry]._parts.finder
     record = await finder.record(JobId(JOB))
@@ -96,28 +98,28 @@
     assert owner_of(site) == entry
 
 
-async def end_at(site: Site, entry: str) -> None:
+async def end_job_at(site: Site, entry: str) -> None:
     """End the job and check that the entry confirms it."""
-    reply = await site.ask(entry, 'DELETE', f'/-/lots/{JOB}')
-    assert reply is not None
-    assert reply.status == 200, reply.status
+    response = await site.ask(entry, 'DELETE', f'/-/lots/{JOB}')
+    assert response is not None
+    assert response.status == 200, response.status
 
 
-def whole(result: dict[str, Any], length: int) -> bool:
+def is_whole(result: dict[str, Any], length: int) -> bool:
     """Return whether a result has all events of its item, in order."""
     item = result['id']
     expected = [f'{item}/{number}' for number in range(1, length + 1)]
     return bool(result['text'].split('\n') == expected)
 
 
-async def listed_at_both(context: Any, site: Site) -> None:
+async def read_at_each_entry(context: Any, site: Site) -> None:
     """Read all results at each entry into ``context.listed``."""
     context.listed = [
         await site.all_results(entry, JOB) for entry in sorted(site.entries)
     ]
 
 
-def check_whole(
+def check_all_whole(
     results: list[dict[str, Any]], groups: list[list[int]], count: int
 ) -> None:
     """Check that all items are listed, each once and with its whole text.
@@ -134,4 +136,4 @@
     lengths = lengths_of(groups)
     assert len(results) == count, results
     assert {result['id'] for result in results} == set(lengths)
-    assert all(whole(result, lengths[result['id']]) for result in results)
+    assert all(is_whole(result, lengths[result['id']]) for result in results)
--- a/features/steps/fleet_incarnations_steps.py
+++ b/features/steps/fleet_incarnations_steps.py
@@ -20,7 +20,7 @@
     WeightVersion,
 )
 from features.fleet_scenes import publish, start_engine_with_agent, upstream
-from features.job_scenes import JOB, handed_in, lengths_of
+from features.job_scenes import JOB, lengths_of, submit_job
 from lab.site import Site, at, play
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
     progress = Progress(ItemId('i'), first.upstream, NOW, 50)
     for event in range(30):
         progress.advance(event, NOW + dt.timedelta(seconds=event / 5))
-    context.speeds.learn(progress)
+    context.speeds.add_intervals(progress)
     context.usual_s = context.speeds.interval_s('nobody')
 
 
@@ -162,7 +162,7 @@
     async def scene(site: Site) -> None:
         await site.start()
         engine = site.engines['engine-0']
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         await asyncio.sleep(after_s)
         context.runs_before = len(engine.seen)
         await start_again(site, engine)
--- a/features/steps/gateway_again_steps.py
+++ b/features/steps/gateway_again_steps.py
@@ -13,13 +13,13 @@
 from features.job_scenes import (
     JOB,
     SHORT_AND_LONG,
-    at_work,
-    check_whole,
-    handed_in,
-    other,
+    check_all_whole,
+    other_entry,
     owner_of,
-    starts,
-    taken_over_by,
+    run_headers,
+    running_requests,
+    submit_job,
+    take_over_at,
 )
 from lab.site import Site, play
 
@@ -47,7 +47,7 @@
 def ended_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         await asyncio.sleep(0.5)
         owner = owner_of(site)
         ended = await site.ask('entry-0', 'DELETE', f'/-/lots/{JOB}')
@@ -57,10 +57,10 @@
         await site.add_entry(owner)
         await asyncio.sleep(3)
         context.again = await site.submit(
-            other(site, owner), JOB, list(SHORT_AND_LONG)
+            other_entry(site, owner), JOB, list(SHORT_AND_LONG)
         )
         await asyncio.sleep(0.5)
-        context.running = at_work(site)
+        context.running = running_requests(site)
 
     play(scene)
 
@@ -75,7 +75,7 @@
 def running_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         owner = owner_of(site)
         await read_first_group(site, owner)
         await asyncio.sleep(1)
@@ -83,7 +83,7 @@
         site.store.list_s = 1.4
         await site.add_entry(owner)
         await asyncio.sleep(0.3)
-        second = other(site, owner)
+        second = other_entry(site, owner)
         again = await site.submit(second, JOB, list(SHORT_AND_LONG))
         assert again is not None
         assert again.status == 202, again.status
@@ -92,7 +92,7 @@
             await read_second_position(site, entry) for entry in (owner, second)
         ]
         await asyncio.sleep(2)
-        context.runs = [len(starts(site, item)) for item in _LISTED_ITEMS]
+        context.runs = [len(run_headers(site, item)) for item in _LISTED_ITEMS]
 
     play(scene)
 
@@ -101,7 +101,7 @@
 def stopping_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=1)
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         await read_first_group(site, 'entry-0')
         await asyncio.sleep(1)
         stopping = asyncio.create_task(site.entries.pop('entry-0').stop())
@@ -111,7 +111,7 @@
         assert again.status == 202, again.status
         context.pages = [await read_second_position(site, 'entry-0')]
         await stopping
-        context.runs = [len(starts(site, item)) for item in _LISTED_ITEMS]
+        context.runs = [len(run_headers(site, item)) for item in _LISTED_ITEMS]
 
     play(scene)
 
@@ -131,12 +131,12 @@
 def late_list(context: Any, late: float) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[30, 30], [200, 200]])
+        await submit_job(site, [[30, 30], [200, 200]])
         await asyncio.sleep(0.5)
         first = owner_of(site)
-        second = other(site, first)
+        second = other_entry(site, first)
         site.store.list_s = late
-        takeover = asyncio.create_task(taken_over_by(site, second))
+        takeover = asyncio.create_task(take_over_at(site, second))
         await read_first_group(site, first)
         await takeover
         context.pages = [await read_second_position(site, second)]
@@ -148,14 +148,14 @@
 def late_job(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         first = owner_of(site)
         run = site.entries[first]._parts.owner.get(JobId(JOB))
         assert run is not None
         message = AdoptJob(run.found.record, run.found.revision, run.spec)
         await read_first_group(site, first)
-        second = other(site, first)
-        await taken_over_by(site, second)
+        second = other_entry(site, first)
+        await take_over_at(site, second)
         # A restarted entry does not know the job, like one that was paused.
         await site.kill(first)
         await site.add_entry(first)
@@ -171,7 +171,7 @@
 def late_lookup(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[60, 60]])
+        await submit_job(site, [[60, 60]])
         first = owner_of(site)
         parts = site.entries[first]._parts
         run = parts.owner.get(JobId(JOB))
@@ -189,4 +189,4 @@
 @then('its term stays, and the job is listed whole')
 def term_stays(context: Any) -> None:
     assert context.term == 3, context.term
-    check_whole(context.results, [[60, 60]], 2)
+    check_all_whole(context.results, [[60, 60]], 2)
--- a/features/steps/gateway_items_steps.py
+++ b/features/steps/gateway_items_steps.py
@@ -10,11 +10,11 @@
 
 from features.job_scenes import (
     JOB,
-    check_whole,
-    handed_in,
+    check_all_whole,
     lengths_of,
-    parsed,
-    starts,
+    parse_lengths,
+    run_headers,
+    submit_job,
 )
 from lab.site import Site, play
 from lab.upstreams import UpstreamMode
@@ -26,7 +26,7 @@
         await site.start()
         for broken in site.engines.values():
             broken.mode = UpstreamMode(mode)
-        await handed_in(site, parsed(groups))
+        await submit_job(site, parse_lengths(groups))
         context.results = await site.all_results('entry-0', JOB)
         context.runs = Counter(
             seen.request
@@ -51,12 +51,12 @@
     async def scene(site: Site) -> None:
         await site.start()
         site.engines['engine-0'].break_after = events
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         context.results = await site.all_results('entry-0', JOB)
         context.begun = {
             int(headers.get('last-event-id', '0'))
             for item in lengths_of(context.groups)
-            for headers in starts(site, item)
+            for headers in run_headers(site, item)
         }
 
     play(scene)
@@ -64,7 +64,7 @@
 
 @then('every item of the job is listed whole')
 def all_complete(context: Any) -> None:
-    check_whole(
+    check_all_whole(
         context.results, context.groups, len(lengths_of(context.groups))
     )
 
@@ -80,7 +80,7 @@
 
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         await asyncio.sleep(after)
         site.engines['engine-0'].loading = True
         context.results = await site.all_results('entry-0', JOB, 3.5)
@@ -101,7 +101,7 @@
         engine.version = 2
         site.store.put('servers', engine.name, engine.registration())
         await asyncio.sleep(1)
-        await handed_in(site, [[3, 3], [3, 3]], least=2)
+        await submit_job(site, [[3, 3], [3, 3]], min_version=2)
         context.results = await site.all_results('entry-0', JOB)
         context.old_engine = site.engines['engine-0'].seen
 
@@ -122,7 +122,7 @@
         await site.start()
         for engine in site.engines.values():
             engine.mode = UpstreamMode.DARK
-        await handed_in(site, [[3, 3], [3, 3]])
+        await submit_job(site, [[3, 3], [3, 3]])
         await read_to_end(context, site)
 
     play(scene)
@@ -134,7 +134,7 @@
         await site.start()
         for engine in site.engines.values():
             engine.mode = UpstreamMode.DARK
-        await handed_in(site, [[3, 3], [3, 3]])
+        await submit_job(site, [[3, 3], [3, 3]])
         site.put_manifest(routes=site.routes[1:])
         await read_to_end(context, site)
 
@@ -159,7 +159,7 @@
         site.engines['engine-0'].version = 1
         await asyncio.sleep(1)
         started_at = site.clock.elapsed()
-        await handed_in(site, [[50, 50], [50, 50]], least=2)
+        await submit_job(site, [[50, 50], [50, 50]], min_version=2)
         context.results = await site.all_results('entry-0', JOB)
         context.took_s = (site.clock.elapsed() - started_at).total_seconds()
 
@@ -187,7 +187,7 @@
 def change_weights(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(engines=1)
-        await handed_in(site, [[20]])
+        await submit_job(site, [[20]])
         await asyncio.sleep(0.5)
         site.engines['engine-0'].version = 2
         context.results = await site.all_results('entry-0', JOB)
--- a/features/steps/gateway_jobs_steps.py
+++ b/features/steps/gateway_jobs_steps.py
@@ -10,11 +10,11 @@
 
 from features.job_scenes import (
     JOB,
-    handed_in,
+    is_whole,
     lengths_of,
-    listed_at_both,
-    parsed,
-    whole,
+    parse_lengths,
+    read_at_each_entry,
+    submit_job,
 )
 from lab.site import Site, play
 from lab.store import StoreMode
@@ -22,13 +22,13 @@
 
 @given('a site that runs a job of groups {groups}')
 def run_job(context: Any, groups: str) -> None:
-    context.groups = parsed(groups)
+    context.groups = parse_lengths(groups)
 
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         context.first_page = await site.results('entry-1', JOB)
-        await listed_at_both(context, site)
+        await read_at_each_entry(context, site)
         item = f'{JOB}.0.0'
         body = await site.ask('entry-1', 'GET', f'/-/items/{JOB}?id={item}')
         assert body is not None
@@ -52,7 +52,7 @@
     assert first == second
     assert len(first) == count, first
     lengths = lengths_of(context.groups)
-    assert all(whole(result, lengths[result['id']]) for result in first)
+    assert all(is_whole(result, lengths[result['id']]) for result in first)
     assert all(result['versions'] == [1] for result in first), first
 
 
--- a/features/steps/gateway_owners_steps.py
+++ b/features/steps/gateway_owners_steps.py
@@ -11,16 +11,16 @@
 from bergamotdoor.utils import hrw_order
 from features.job_scenes import (
     JOB,
-    at_work,
-    check_whole,
-    handed_in,
+    check_all_whole,
     lengths_of,
-    listed_at_both,
-    other,
+    other_entry,
     owner_of,
-    parsed,
-    starts,
-    taken_over_by,
+    parse_lengths,
+    read_at_each_entry,
+    run_headers,
+    running_requests,
+    submit_job,
+    take_over_at,
 )
 from lab.site import Site, play
 from lab.store import StoreMode
@@ -30,23 +30,23 @@
     'a site whose owner is killed {after:f} s after a job of groups {groups}'
 )
 def owner_killed(context: Any, after: float, groups: str) -> None:
-    context.groups = parsed(groups)
+    context.groups = parse_lengths(groups)
 
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         await asyncio.sleep(after)
         owner = owner_of(site)
         await site.kill(owner)
-        context.results = await site.all_results(other(site, owner), JOB)
-        context.long_starts = starts(site, f'{JOB}.0.0')
+        context.results = await site.all_results(other_entry(site, owner), JOB)
+        context.long_starts = run_headers(site, f'{JOB}.0.0')
 
     play(scene)
 
 
 @then('the other entry lists all {count:d} results, each once and whole')
 def all_whole(context: Any, count: int) -> None:
-    check_whole(context.results, context.groups, count)
+    check_all_whole(context.results, context.groups, count)
 
 
 @then('the long item was not generated from its beginning again')
@@ -63,22 +63,22 @@
     'a site whose owner is stopped {after:f} s after a job of groups {groups}'
 )
 def owner_stopped(context: Any, after: float, groups: str) -> None:
-    context.groups = parsed(groups)
+    context.groups = parse_lengths(groups)
 
     async def scene(site: Site) -> None:
         await site.start()
         started_at = site.clock.elapsed()
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         await asyncio.sleep(after)
         owner = owner_of(site)
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
-        context.results = await site.all_results(other(site, owner), JOB)
+        context.results = await site.all_results(other_entry(site, owner), JOB)
         context.took_s = (site.clock.elapsed() - started_at).total_seconds()
         await stopping
         context.starts = {
             item: [
                 int(headers.get('last-event-id', '0'))
-                for headers in starts(site, item)
+                for headers in run_headers(site, item)
             ]
             for item in lengths_of(context.groups)
         }
@@ -92,7 +92,7 @@
 def stopped_slowly(context: Any, after: float) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[90, 90], [90, 90]])
+        await submit_job(site, [[90, 90], [90, 90]])
         await asyncio.sleep(0.5)
         owner = owner_of(site)
         site.store.answer_s = after
@@ -101,7 +101,7 @@
         item = f'{JOB}.1.1'
         body = await site.ask(owner, 'GET', f'/-/items/{JOB}?id={item}')
         assert body is not None
-        page = await site.results(other(site, owner), JOB)
+        page = await site.results(other_entry(site, owner), JOB)
         context.answers = (body.status, page)
         await stopping
         del site.entries[owner]
@@ -123,7 +123,7 @@
     async def scene(site: Site) -> None:
         await site.start(entries=3)
         started_at = site.clock.elapsed()
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         await asyncio.sleep(1.5)
         owner = owner_of(site)
         order = hrw_order('m', [name for name in site.ports if name != owner])
@@ -144,7 +144,7 @@
 
 @then('the third entry lists all {count:d} results, each once and whole')
 def third_lists(context: Any, count: int) -> None:
-    check_whole(context.results, context.groups, count)
+    check_all_whole(context.results, context.groups, count)
     assert context.third_is_owner
 
 
@@ -164,12 +164,12 @@
 def taken_over_while_running(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[2, 30], [25, 20], [10, 15]])
+        await submit_job(site, [[2, 30], [25, 20], [10, 15]])
         await asyncio.sleep(0.6)
         owner = owner_of(site)
-        second = other(site, owner)
-        await taken_over_by(site, second)
-        await listed_at_both(context, site)
+        second = other_entry(site, owner)
+        await take_over_at(site, second)
+        await read_at_each_entry(context, site)
 
     play(scene)
 
@@ -188,7 +188,7 @@
 def idle_owner(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[20, 20], [90, 90]])
+        await submit_job(site, [[20, 20], [90, 90]])
         owner = owner_of(site)
         first = site.entries[owner]._parts.owner
         first._dispatcher = cast('Any', IdleDispatcher())
@@ -196,8 +196,8 @@
         assert run is not None
         for item in tuple(run.running.values()):
             item.task.cancel()
-        second = other(site, owner)
-        await taken_over_by(site, second)
+        second = other_entry(site, owner)
+        await take_over_at(site, second)
         await asyncio.sleep(1.4)
         page = await site.results(second, JOB)
         assert len(page['results']) == 2, page
@@ -225,13 +225,13 @@
 def ended(context: Any, after: float) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[3, 3], [90, 90]])
+        await submit_job(site, [[3, 3], [90, 90]])
         await asyncio.sleep(after)
-        entry = other(site, owner_of(site))
+        entry = other_entry(site, owner_of(site))
         before = await site.results(entry, JOB)
         first = await site.ask(entry, 'DELETE', f'/-/lots/{JOB}')
         await asyncio.sleep(0.5)
-        context.running = at_work(site)
+        context.running = running_requests(site)
         second = await site.ask(entry, 'DELETE', f'/-/lots/{JOB}')
         after_end = await site.results('entry-0', JOB)
         context.statuses = [first, second]
--- a/features/steps/gateway_scoring_steps.py
+++ b/features/steps/gateway_scoring_steps.py
@@ -17,7 +17,14 @@
 )
 from bergamotdoor.jobs.scoring import ScoreQueue
 from bergamotdoor.types import GroupId, ItemId
-from features.job_scenes import JOB, handed_in, other, owner_of, parsed, starts
+from features.job_scenes import (
+    JOB,
+    other_entry,
+    owner_of,
+    parse_lengths,
+    run_headers,
+    submit_job,
+)
 from lab.site import Site, play
 from lab.upstreams import Seen, Upstream, UpstreamMode
 from lab.wire import score_id
@@ -56,7 +63,7 @@
     context.starts = {
         seen.request: [
             int(headers.get('last-event-id', '0'))
-            for headers in starts(site, seen.request)
+            for headers in run_headers(site, seen.request)
         ]
         for engine in site.engines.values()
         for seen in engine.seen
@@ -65,11 +72,11 @@
 
 @given('a site that runs a scored job of groups {groups}')
 def scored(context: Any, groups: str) -> None:
-    context.groups = parsed(groups)
+    context.groups = parse_lengths(groups)
 
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, context.groups, score_path=SCORE_PATH)
+        await submit_job(site, context.groups, score_path=SCORE_PATH)
         await read_to_end(context, site, 'entry-0')
         context.second = await site.all_results('entry-1', JOB)
         context.made_at_s = {
@@ -137,7 +144,7 @@
         context.most = Counter()
         record_most_running(site, context.most)
         started_at = site.clock.elapsed()
-        await handed_in(
+        await submit_job(
             site,
             [[5, 5, 5, 5] for _ in range(count // 4)],
             score_path=SCORE_PATH,
@@ -204,7 +211,7 @@
 
 @then('the text of the smaller group is scored first')
 def small_first(context: Any) -> None:
-    ready = context.queue.ready(context.open.get, dt.timedelta())
+    ready = context.queue.ready_texts(context.open.get, dt.timedelta())
     assert [one.spec.item for one in ready] == ['c', 'a', 'b']
 
 
@@ -214,7 +221,7 @@
         await site.start(services=5)
         for service in site.services.values():
             service.always_fail.add(score_id(f'{JOB}.0.1'))
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
+        await submit_job(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
         await read_to_end(context, site, 'entry-0')
 
     play(scene)
@@ -275,7 +282,7 @@
     async def scene(site: Site) -> None:
         await site.start()
         break_answers(site, kind)
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
+        await submit_job(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
         await asyncio.sleep(seconds)
         repair_answers(site)
         await read_to_end(context, site, 'entry-0')
@@ -303,7 +310,7 @@
         score_route = site.routes.pop()
         assert score_route['path_prefix'] == SCORE_PATH
         await site.start()
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
+        await submit_job(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
         await asyncio.sleep(after)
         assert not score_calls(site)
         site.routes.append(score_route)
@@ -317,7 +324,7 @@
     """Run a job until its texts wait for their scores; return its owner."""
     await site.start()
     set_services(site, UpstreamMode.FULL)
-    await handed_in(site, [[20, 20], [20, 20]], score_path=SCORE_PATH)
+    await submit_job(site, [[20, 20], [20, 20]], score_path=SCORE_PATH)
     await asyncio.sleep(2.5)
     return owner_of(site)
 
@@ -329,7 +336,7 @@
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
         await asyncio.sleep(1)
         set_services(site, UpstreamMode.GOOD)
-        await read_to_end(context, site, other(site, owner))
+        await read_to_end(context, site, other_entry(site, owner))
         await stopping
 
     play(scene)
@@ -341,7 +348,7 @@
         owner = await leave_texts_unscored(site)
         await site.kill(owner)
         set_services(site, UpstreamMode.GOOD)
-        await read_to_end(context, site, other(site, owner))
+        await read_to_end(context, site, other_entry(site, owner))
 
     play(scene)
 
@@ -358,11 +365,11 @@
 def stopped_waiting(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[3, 3, 3, 60]], score_path=SCORE_PATH)
+        await submit_job(site, [[3, 3, 3, 60]], score_path=SCORE_PATH)
         await asyncio.sleep(1)
         owner = owner_of(site)
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
-        await read_to_end(context, site, other(site, owner))
+        await read_to_end(context, site, other_entry(site, owner))
         await stopping
 
     play(scene)
@@ -381,7 +388,7 @@
         await site.start(services=2)
         for service in site.services.values():
             service.always_fail.add(score_id(f'{JOB}.0.0'))
-        await handed_in(site, [[3, 3]], score_path=SCORE_PATH)
+        await submit_job(site, [[3, 3]], score_path=SCORE_PATH)
         owner = owner_of(site)
         while len(score_calls(site)) < 3:
             await asyncio.sleep(0.01)
@@ -389,7 +396,7 @@
         # of 0.1 s before the next attempt.
         await asyncio.sleep(0.06)
         stopping = asyncio.create_task(site.entries.pop(owner).stop())
-        await read_to_end(context, site, other(site, owner))
+        await read_to_end(context, site, other_entry(site, owner))
         await stopping
 
     play(scene)
@@ -424,7 +431,7 @@
         await site.start()
         for slow in site.services.values():
             slow.work_s = 1.3
-        await handed_in(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
+        await submit_job(site, [[3, 3], [3, 3]], score_path=SCORE_PATH)
         await asyncio.sleep(0.5)
         assert any(service.running for service in site.services.values())
         reply = await site.ask('entry-1', 'DELETE', f'/-/lots/{JOB}')
--- a/features/steps/gateway_series_steps.py
+++ b/features/steps/gateway_series_steps.py
@@ -9,7 +9,7 @@
 
 from behave import given, then
 
-from features.job_scenes import JOB, handed_in
+from features.job_scenes import JOB, submit_job
 from lab.site import Site, play
 
 #: Events of the job's items, by group.
@@ -59,7 +59,7 @@
         """Play the series; return the results at the entry never stopped."""
         site = self._site
         await site.start(entries=5)
-        await handed_in(site, list(_GROUPS))
+        await submit_job(site, list(_GROUPS))
         clients = [
             asyncio.create_task(self._send_requests(entry))
             for entry in sorted(site.entries)
--- a/features/steps/gateway_store_steps.py
+++ b/features/steps/gateway_store_steps.py
@@ -9,12 +9,12 @@
 
 from features.job_scenes import (
     JOB,
-    handed_in,
     lengths_of,
-    listed_at_both,
-    other,
+    other_entry,
     owner_of,
-    starts,
+    read_at_each_entry,
+    run_headers,
+    submit_job,
 )
 from lab.site import Site, at, play
 from lab.store import StoreMode
@@ -33,7 +33,7 @@
         await asyncio.sleep(1)
         context.ran = sum(len(engine.seen) for engine in site.engines.values())
         site.store.mode = StoreMode.UP
-        await handed_in(site, [[2, 2]])
+        await submit_job(site, [[2, 2]])
         context.results = await site.all_results('entry-1', JOB)
 
     play(scene)
@@ -59,8 +59,8 @@
     async def scene(site: Site) -> None:
         await site.start()
         site.store.lose_answers = 2
-        await handed_in(site, context.groups)
-        await listed_at_both(context, site)
+        await submit_job(site, context.groups)
+        await read_at_each_entry(context, site)
 
     play(scene)
 
@@ -80,7 +80,7 @@
 
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         await site.all_results('entry-0', JOB)
         await site.ask('entry-0', 'DELETE', f'/-/lots/{JOB}')
         for name in tuple(site.entries):
@@ -90,7 +90,7 @@
         await asyncio.sleep(3)
         site.store.list_s = seconds
         owner = owner_of(site)
-        context.results = await site.all_results(other(site, owner), JOB)
+        context.results = await site.all_results(other_entry(site, owner), JOB)
 
     play(scene)
 
@@ -99,9 +99,9 @@
 def run_with_delayed_writes(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[2, 2], [4, 4], [60, 3]])
+        await submit_job(site, [[2, 2], [4, 4], [60, 3]])
         site.store.delay_writes = 2
-        await listed_at_both(context, site)
+        await read_at_each_entry(context, site)
         assert len(context.listed[0]) == 6, context.listed
 
     play(scene)
@@ -111,12 +111,12 @@
 def run_without_store_access(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[10, 10], [20, 20]])
+        await submit_job(site, [[10, 10], [20, 20]])
         owner = owner_of(site)
         # Nothing listens at the address at which this entry calls the store.
         access = site.entries[owner]._access
         access.direct.address = at(8999)
-        await listed_at_both(context, site)
+        await read_at_each_entry(context, site)
         assert len(context.listed[0]) == 4, context.listed
 
     play(scene)
@@ -126,7 +126,7 @@
 def run_with_slow_store(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
-        await handed_in(site, [[90, 90]])
+        await submit_job(site, [[90, 90]])
         await asyncio.sleep(0.5)
         site.store.answer_s = 0.5
         context.waits_s = []
@@ -142,7 +142,7 @@
         site.store.answer_s = 0.004
         await site.all_results('entry-0', JOB)
         context.runs = [
-            len(starts(site, item)) for item in lengths_of([[90, 90]])
+            len(run_headers(site, item)) for item in lengths_of([[90, 90]])
         ]
 
     play(scene)
--- a/features/steps/gateway_takeovers_steps.py
+++ b/features/steps/gateway_takeovers_steps.py
@@ -11,12 +11,12 @@
 from features.job_scenes import (
     JOB,
     SHORT_AND_LONG,
-    at_work,
-    end_at,
-    handed_in,
-    other,
+    end_job_at,
+    other_entry,
     owner_of,
-    taken_over_by,
+    running_requests,
+    submit_job,
+    take_over_at,
 )
 from lab.site import Site, at, play
 from lab.store import Store, StoreMode
@@ -26,7 +26,7 @@
 def ended_elsewhere(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         await asyncio.sleep(0.5)
         first = owner_of(site)
         second, third = (name for name in sorted(site.ports) if name != first)
@@ -35,10 +35,10 @@
         assert owner_of(site) == second
         await site.add_entry(first)
         await asyncio.sleep(0.3)
-        assert at_work(site)
-        await end_at(site, third)
+        assert running_requests(site)
+        await end_job_at(site, third)
         await asyncio.sleep(0.5)
-        context.running = at_work(site)
+        context.running = running_requests(site)
 
     play(scene)
 
@@ -47,14 +47,14 @@
 def ended_at_first(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         await asyncio.sleep(0.5)
         first = owner_of(site)
-        await taken_over_by(site, other(site, first))
+        await take_over_at(site, other_entry(site, first))
         await asyncio.sleep(0.2)
-        await end_at(site, first)
+        await end_job_at(site, first)
         await asyncio.sleep(0.5)
-        context.running = at_work(site)
+        context.running = running_requests(site)
 
     play(scene)
 
@@ -63,18 +63,18 @@
 def got_back(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         await asyncio.sleep(0.5)
         first = owner_of(site)
-        second = other(site, first)
-        await taken_over_by(site, second)
+        second = other_entry(site, first)
+        await take_over_at(site, second)
         stopping = asyncio.create_task(site.entries.pop(second).stop())
         await asyncio.sleep(0.2)
         assert owner_of(site) == first
         context.running = []
         for _ in range(5):
             await asyncio.sleep(0.5)
-            context.running.append(len(at_work(site)))
+            context.running.append(len(running_requests(site)))
         await stopping
 
     play(scene)
@@ -100,7 +100,7 @@
         started = await site.add_entry(owner)
         site.store.address = store
         await asyncio.sleep(0.5)
-        second = other(site, owner)
+        second = other_entry(site, owner)
         again = await site.submit(second, JOB, context.groups)
         assert again is not None
         assert again.status == 202, again.status
@@ -150,16 +150,18 @@
 def cut_off_and_stopped(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
-        await handed_in(site, [[200, 200]])
+        await submit_job(site, [[200, 200]])
         await asyncio.sleep(0.5)
         first = owner_of(site)
         silent = Store(at(8998), site.clock)
         await cut_off(site, first, silent)
         started_at = site.clock.elapsed()
         stopping = asyncio.create_task(site.entries.pop(first).stop())
-        reading = asyncio.create_task(site.all_results(other(site, first), JOB))
+        reading = asyncio.create_task(
+            site.all_results(other_entry(site, first), JOB)
+        )
         await asyncio.sleep(0.1)
-        while not at_work(site):
+        while not running_requests(site):
             await asyncio.sleep(0.1)
         context.took_s = (site.clock.elapsed() - started_at).total_seconds()
         reading.cancel()
@@ -180,7 +182,7 @@
 def ended_while_loading(context: Any, load: float) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
-        await handed_in(site, list(SHORT_AND_LONG))
+        await submit_job(site, list(SHORT_AND_LONG))
         await asyncio.sleep(0.7)
         first = owner_of(site)
         second, third = (name for name in sorted(site.ports) if name != first)
@@ -189,9 +191,9 @@
         reading = asyncio.create_task(site.results(second, JOB))
         await asyncio.sleep(0.1)
         assert owner_of(site) == second
-        await end_at(site, third)
+        await end_job_at(site, third)
         await reading
         await asyncio.sleep(0.5)
-        context.running = at_work(site)
+        context.running = running_requests(site)
 
     play(scene)
--- a/features/steps/jobs_listing_steps.py
+++ b/features/steps/jobs_listing_steps.py
@@ -10,13 +10,13 @@
 from behave import given, then, when
 
 from bergamotdoor.jobs import (
+    ItemQueue,
     ItemResult,
     ItemState,
-    JobBoard,
     JobSpec,
     Ledger,
 )
-from bergamotdoor.jobs.listing import Target, holds
+from bergamotdoor.jobs.listing import Target, should_hold
 from bergamotdoor.jobs.messages import ItemSpec
 from bergamotdoor.steps.target import groups_again, target_of
 from bergamotdoor.types import (
@@ -53,7 +53,7 @@
 @then('they wait, and are listed once they have waited for 1 s')
 def results_wait(context: Any) -> None:
     waits = [
-        holds(context.target, ms(held_ms), context.due_in)
+        should_hold(context.target, ms(held_ms), context.due_in)
         for held_ms in (0, 999, 1000)
     ]
     assert waits == [True, True, False], waits
@@ -61,17 +61,17 @@
 
 @then('they are listed at once when the target is reached')
 def listed_at_target(context: Any) -> None:
-    assert not holds(Target(10, 0), ms(0), context.due_in)
+    assert not should_hold(Target(10, 0), ms(0), context.due_in)
 
 
 @then('they are listed at once')
 def listed_at_once(context: Any) -> None:
-    assert not holds(context.target, ms(0), context.due_in)
+    assert not should_hold(context.target, ms(0), context.due_in)
 
 
 @then('they are listed at once if the step is due')
 def listed_at_once_if_due(context: Any) -> None:
-    assert not holds(context.target, ms(0), ms(0))
+    assert not should_hold(context.target, ms(0), ms(0))
 
 
 @given('a job of 4 groups with a target of 2, whose first one was resubmitted')
@@ -105,14 +105,14 @@
 
 def reached(context: Any, *complete: str) -> bool:
     """Return whether the target is reached once groups are complete."""
-    board = JobBoard(context.spec, Ledger())
+    item_queue = ItemQueue(context.spec, Ledger())
     for group in complete:
         item = ItemId(f'i-{group}')
-        board.finish(ItemResult(item, ItemState.COMPLETED))
+        item_queue.record_result(ItemResult(item, ItemState.COMPLETED))
     run: Any = SimpleNamespace(
-        spec=context.spec, items=SimpleNamespace(board=board)
+        spec=context.spec, items=SimpleNamespace(item_queue=item_queue)
     )
-    return target_of(run, context.resubmitted).reached
+    return target_of(run, context.resubmitted).is_reached
 
 
 @then('its target is not reached with the 3 others complete')
--- a/features/steps/jobs_positions_steps.py
+++ b/features/steps/jobs_positions_steps.py
@@ -124,8 +124,8 @@
         for number, pause in zip(order, pauses, strict=True):
             await asyncio.sleep(pause / 50)
             item = self.run.spec.items[number].item
-            if self.run.items.board.body_of(item) is not None:
-                self.run.items.take_text(result_of(item))
+            if self.run.items.item_queue.body_of(item) is not None:
+                self.run.items.record_text(result_of(item))
 
 
 def spec_of() -> JobSpec:
@@ -218,11 +218,11 @@
         owner = Owner(context.record_store, 1)
         task = asyncio.create_task(owner.writer.run())
         for member in range(MEMBERS):
-            owner.run.items.take_text(result_of(f'1.{member}'))
-        owner.run.items.take_text(result_of('0.0'))
+            owner.run.items.record_text(result_of(f'1.{member}'))
+        owner.run.items.record_text(result_of('0.0'))
         await asyncio.sleep(0.2)
-        owner.run.items.take_text(result_of('0.1'))
-        owner.run.items.take_text(result_of('0.2'))
+        owner.run.items.record_text(result_of('0.1'))
+        owner.run.items.record_text(result_of('0.2'))
         await asyncio.sleep(0.5)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -260,7 +260,7 @@
         )
         await asyncio.sleep(0.75)
         for member in range(MEMBERS):
-            owner.run.items.take_text(result_of(f'0.{member}'))
+            owner.run.items.record_text(result_of(f'0.{member}'))
         context.page = await reader
         writer.cancel()
         await asyncio.gather(writer, return_exceptions=True)
--- a/features/steps/jobs_progress_steps.py
+++ b/features/steps/jobs_progress_steps.py
@@ -11,15 +11,15 @@
 from bergamotdoor.fleet.loads import Loads, UpstreamLoad
 from bergamotdoor.jobs import (
     GeneratedEvent,
-    JobBoard,
+    ItemQueue,
     JobSpec,
     Progress,
     Reservations,
     RunEnd,
     Speeds,
     Transcript,
+    choose_moves,
     free_slots,
-    moves,
     place_item,
 )
 from bergamotdoor.jobs.ledger import Ledger
@@ -45,7 +45,7 @@
     return dt.timedelta(milliseconds=value)
 
 
-def board_of(lengths: list[int]) -> JobBoard:
+def queue_of(lengths: list[int]) -> ItemQueue:
     """Return the queue of a job with items of these expected lengths."""
     items = tuple(
         ItemSpec(
@@ -59,18 +59,18 @@
         for number, length in enumerate(lengths)
     )
     spec = JobSpec(JobId('j'), 'h', '/', ModelId('m'), WeightVersion(1), items)
-    board = JobBoard(spec, Ledger())
-    board.max_failures = 3
-    return board
+    item_queue = ItemQueue(spec, Ledger())
+    item_queue.max_failures = 3
+    return item_queue
 
 
-def start_next(board: JobBoard, now: dt.timedelta) -> ItemId | None:
+def start_next(item_queue: ItemQueue, now: dt.timedelta) -> ItemId | None:
     """Start the next item and return it; ``None`` if none is ready."""
-    slot = board.ready(now)
-    if slot is None:
+    queued = item_queue.next_item(now)
+    if queued is None:
         return None
-    board.start(slot)
-    return slot.spec.item
+    item_queue.start(queued)
+    return queued.spec.item
 
 
 @given('a queue of 100 items with heavy-tailed lengths')
@@ -78,12 +78,14 @@
     context.lengths = [
         4000 if number % 20 == 7 else 500 for number in range(100)
     ]
-    context.board = board_of(context.lengths)
+    context.item_queue = queue_of(context.lengths)
 
 
 @then("its longest items start first, the others in the job's order")
 def longest_first(context: Any) -> None:
-    order = [int(start_next(context.board, ms(0)) or -1) for _ in range(100)]
+    order = [
+        int(start_next(context.item_queue, ms(0)) or -1) for _ in range(100)
+    ]
     long = [number for number in range(100) if number % 20 == 7]
     assert order[: len(long)] == long, order
     assert order[len(long) :] == sorted(order[len(long) :]), order
@@ -91,36 +93,36 @@
 
 @given('a queue of 10 items of which the first was refused')
 def first_refused(context: Any) -> None:
-    context.board = board_of(list(range(10)))
+    context.item_queue = queue_of(list(range(10)))
     for _ in range(3):
-        start_next(context.board, ms(0))
-    context.board.give_back(ItemId('0'), RunEnd.REFUSED, WHERE, ms(1))
+        start_next(context.item_queue, ms(0))
+    context.item_queue.requeue_item(ItemId('0'), RunEnd.REFUSED, WHERE, ms(1))
 
 
 @then('the first item is the next one')
 def first_next(context: Any) -> None:
-    assert start_next(context.board, ms(1)) == '0'
+    assert start_next(context.item_queue, ms(1)) == '0'
 
 
 @given('a queue of 10 items of which the first fails at each run')
 def first_fails(context: Any) -> None:
-    context.board = board_of([1])
+    context.item_queue = queue_of([1])
 
 
 @then(
     'its runs begin after pauses of 0, 100 and 300 ms, and it is lost after 3'
 )
 def retries_paced(context: Any) -> None:
-    board = context.board
+    item_queue = context.item_queue
     begun = []
     now = 0
-    while board.open_items and now < 2000:
-        if start_next(board, ms(now)) is not None:
+    while item_queue.open_items and now < 2000:
+        if start_next(item_queue, ms(now)) is not None:
             begun.append(now)
-            board.give_back(ItemId('0'), RunEnd.FAILED, WHERE, ms(now))
+            item_queue.requeue_item(ItemId('0'), RunEnd.FAILED, WHERE, ms(now))
         now += 10
     assert begun == [0, 100, 400], begun
-    assert board.take_finished(1)[0].state is ItemState.LOST
+    assert item_queue.pop_results_to_store(1)[0].state is ItemState.LOST
 
 
 @given('engines with 1 of 4 and 0 of 4 slots taken')
@@ -130,13 +132,19 @@
     context.loads.of(WHERE).in_flight = 1
 
 
-def engine_for(context: Any, home: str | None) -> str:
-    """Return the engine of an item whose group has its prompt at ``home``."""
+def engine_for(context: Any, prompt_upstream: str | None) -> str:
+    """Return the engine of an item.
+
+    Parameters
+    ----------
+    prompt_upstream
+        The engine that has the prompt of the item's group in its cache.
+    """
     found = place_item(
         context.engines,
         context.loads,
         Speeds(),
-        None if home is None else UpstreamId(home),
+        None if prompt_upstream is None else UpstreamId(prompt_upstream),
         frozenset(),
         ms(0),
     )
@@ -170,11 +178,13 @@
 
 @when('a step of {groups:d} groups of {size:d} items is placed')
 def place_step(context: Any, groups: int, size: int) -> None:
-    homes: dict[int, str] = {}
+    prompt_upstreams: dict[int, str] = {}
     for number in range(groups * size):
         group = number // size
-        homes[group] = engine_for(context, homes.get(group))
-        context.loads.of(UpstreamId(homes[group])).in_flight += 1
+        prompt_upstreams[group] = engine_for(
+            context, prompt_upstreams.get(group)
+        )
+        context.loads.of(UpstreamId(prompt_upstreams[group])).in_flight += 1
 
 
 @then('no engine has more than {most:d} items more than another')
@@ -236,7 +246,7 @@
     context.speeds = Speeds()
     for _ in range(4):
         context.item = progress_with_gaps(gaps_ms)
-        context.speeds.learn(context.item)
+        context.speeds.add_intervals(context.item)
     context.now = ms(sum(gaps_ms) + 10)
 
 
@@ -253,7 +263,7 @@
 @given('an engine that takes 140 ms an event after 40 ms')
 def turned_slow(context: Any) -> None:
     learn_gaps(context, [*(40 for _ in range(6)), *(140 for _ in range(6))])
-    context.speeds.learn(progress_at('e1', 30, 60, 30 * 40))
+    context.speeds.add_intervals(progress_at('e1', 30, 60, 30 * 40))
 
 
 @given('an engine that takes 50 ms an event, and one that was not measured')
@@ -264,7 +274,7 @@
 @given('engines that take 51 and 48 ms an event')
 def similar_engines(context: Any) -> None:
     learn_gaps(context, [51 for _ in range(12)])
-    context.speeds.learn(progress_at('e1', 30, 60, 30 * 48))
+    context.speeds.add_intervals(progress_at('e1', 30, 60, 30 * 48))
 
 
 @then('its event interval is {interval_ms:d} ms')
@@ -276,7 +286,7 @@
 def items_leaving(context: Any) -> list[str]:
     """Return the items that leave the first engine for the second."""
     room = {UpstreamId('e1'): 1}
-    found = moves([context.item], room, context.speeds, context.now)
+    found = choose_moves([context.item], room, context.speeds, context.now)
     return [move.item for move in found]
 
 
@@ -293,14 +303,14 @@
 @given('items at an engine of 40 ms and one of 100 ms an event')
 def two_speeds(context: Any) -> None:
     context.speeds = Speeds()
-    context.speeds.learn(progress_at('e0', 50, 60, 2000))
-    context.speeds.learn(progress_at('e1', 20, 60, 2000))
+    context.speeds.add_intervals(progress_at('e0', 50, 60, 2000))
+    context.speeds.add_intervals(progress_at('e1', 20, 60, 2000))
 
 
 def items_moving(context: Any, one: Progress, now_ms: float) -> list[str]:
     """Return the item if it moves while both engines have a free slot."""
     room = {UpstreamId('e0'): 1, UpstreamId('e1'): 1}
-    found = moves([one], room, context.speeds, ms(now_ms))
+    found = choose_moves([one], room, context.speeds, ms(now_ms))
     return [move.item for move in found]
 
 
@@ -331,14 +341,14 @@
 @then('no item moves between them')
 def none_between(context: Any) -> None:
     room = {UpstreamId('e0'): 2, UpstreamId('e1'): 2}
-    assert not list(moves(context.progresses, room, Speeds(), ms(1400)))
+    assert not list(choose_moves(context.progresses, room, Speeds(), ms(1400)))
 
 
 @then('with a third engine that has room both move there')
 def both_move_to_third(context: Any) -> None:
     room = {UpstreamId('e0'): 2, UpstreamId('e2'): 2}
-    found = list(moves(context.progresses, room, Speeds(), ms(1400)))
-    assert [move.stalled for move in found] == [True, True], found
+    found = list(choose_moves(context.progresses, room, Speeds(), ms(1400)))
+    assert [move.is_stalled for move in found] == [True, True], found
 
 
 def transcript_of(*versions: int) -> Transcript:
@@ -352,14 +362,22 @@
 
 @then('a text with a version below the minimum is not accepted')
 def too_old(_: Any) -> None:
-    assert not transcript_of(1, 2).fits(WeightVersion(2), single=False)
-    assert transcript_of(2, 3).fits(WeightVersion(2), single=False)
+    assert not transcript_of(1, 2).has_accepted_versions(
+        WeightVersion(2), single_version=False
+    )
+    assert transcript_of(2, 3).has_accepted_versions(
+        WeightVersion(2), single_version=False
+    )
 
 
 @then('a text of two versions is not accepted by a job that wants one')
 def single_version(_: Any) -> None:
-    assert not transcript_of(2, 3).fits(WeightVersion(2), single=True)
-    assert transcript_of(3, 3).fits(WeightVersion(2), single=True)
+    assert not transcript_of(2, 3).has_accepted_versions(
+        WeightVersion(2), single_version=True
+    )
+    assert transcript_of(3, 3).has_accepted_versions(
+        WeightVersion(2), single_version=True
+    )
 
 
 @given('an upstream that refused a request')
@@ -453,14 +471,14 @@
     load = context.loads.of(WHERE)
     load.in_flight = context.engines[0].slots - 1
     context.reservations = Reservations(context.loads)
-    context.reservations.keep(ItemId('i'), WHERE, ms(0))
+    context.reservations.reserve_slot(ItemId('i'), WHERE, ms(0))
 
 
 @then('no other item is placed there for 200 ms, and then one is')
 def reservation_expires(context: Any) -> None:
     engine = context.engines[0]
-    context.reservations.expire(ms(199))
+    context.reservations.release_expired(ms(199))
     assert free_slots(engine, context.loads, ms(199)) == 0
-    context.reservations.expire(ms(200))
+    context.reservations.release_expired(ms(200))
     assert free_slots(engine, context.loads, ms(200)) == 1
-    assert context.reservations.take(ItemId('i')) is None
+    assert context.reservations.release_slot(ItemId('i')) is None
--- a/features/steps/objects_foreign_steps.py
+++ b/features/steps/objects_foreign_steps.py
@@ -20,7 +20,7 @@
     UnreadableError,
 )
 from bergamotdoor.types import Revision
-from features.job_scenes import JOB, handed_in, lengths_of, owner_of
+from features.job_scenes import JOB, lengths_of, owner_of, submit_job
 from features.support import logged
 from lab.site import Site, play
 from lab.virtual import run_virtual, virtual_clock
@@ -299,7 +299,7 @@
         await site.add_agent('side-0', engine)
         await site.add_agent('store-0', None)
         context.responding = await responding_services(site)
-        await handed_in(site, context.groups)
+        await submit_job(site, context.groups)
         put_foreign_objects(site)
         context.results = [
             await site.all_results(entry, JOB) for entry in sorted(site.entries)
@@ -337,7 +337,7 @@
 def unreadable_record(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[2, 2], [3, 3]])
+        await submit_job(site, [[2, 2], [3, 3]])
         await site.all_results('entry-0', JOB)
         site.store.put(f'job-{JOB}', 'result-000000', {'writer': 5})
         await site.kill(owner_of(site))
--- a/features/steps/planned_stops_steps.py
+++ b/features/steps/planned_stops_steps.py
@@ -10,12 +10,12 @@
 
 from features.job_scenes import (
     JOB,
-    check_whole,
-    handed_in,
+    check_all_whole,
     lengths_of,
-    other,
+    other_entry,
     owner_of,
-    taken_over_by,
+    submit_job,
+    take_over_at,
 )
 from features.support import logged
 from lab.site import Site, play
@@ -72,7 +72,7 @@
 
     async def scene(site: Site) -> None:
         await site.start(entries=entries)
-        await handed_in(site, GROUPS)
+        await submit_job(site, GROUPS)
         await asyncio.sleep(0.5)
         owner = owner_of(site)
         others = [name for name in sorted(site.entries) if name != owner]
@@ -119,7 +119,7 @@
 def bodies_denied(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[2], [90]])
+        await submit_job(site, [[2], [90]])
         await asyncio.sleep(1)
         for item in (f'{JOB}.0.0', 'strange'):
             await site.ask('entry-1', 'GET', f'/-/items/{JOB}?id={item}')
@@ -149,13 +149,13 @@
 def slow_hand_over(context: Any, answer: float) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
-        await handed_in(site, GROUPS)
+        await submit_job(site, GROUPS)
         await asyncio.sleep(1.5)
         owner = owner_of(site)
         site.store.answer_s = answer
         context.stopped_at_s = asyncio.get_running_loop().time()
         stopping = asyncio.create_task(site.entries[owner].stop())
-        reader = other(site, owner)
+        reader = other_entry(site, owner)
         context.results = await site.all_results(reader, JOB)
         await stopping
         del site.entries[owner]
@@ -182,19 +182,19 @@
 
 @then('all {count:d} results are listed, each once and whole')
 def listed_whole(context: Any, count: int) -> None:
-    check_whole(context.results, GROUPS, count)
+    check_all_whole(context.results, GROUPS, count)
 
 
 @given('a site whose job is taken over by an entry that loads it in {load:g} s')
 def slow_load(context: Any, load: float) -> None:
     async def scene(site: Site) -> None:
         await site.start()
-        await handed_in(site, [[20, 20], [90, 90]])
+        await submit_job(site, [[20, 20], [90, 90]])
         owner = owner_of(site)
-        second = other(site, owner)
+        second = other_entry(site, owner)
         site.store.list_s = load
         began_s = asyncio.get_running_loop().time()
-        takeover = asyncio.create_task(taken_over_by(site, second))
+        takeover = asyncio.create_task(take_over_at(site, second))
         context.read = await site.results(owner, JOB)
         read_s = asyncio.get_running_loop().time()
         await takeover
@@ -221,7 +221,7 @@
 def submitted_again(context: Any) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
-        await handed_in(site, [[2, 2], [90, 90]])
+        await submit_job(site, [[2, 2], [90, 90]])
         owner = owner_of(site)
         context.read = await site.results(owner, JOB)
         await site.kill(owner)
--- a/features/steps/steps_crashes_steps.py
+++ b/features/steps/steps_crashes_steps.py
@@ -18,7 +18,7 @@
     ModelId,
     WeightVersion,
 )
-from features.job_scenes import JOB, handed_in, other, owner_of
+from features.job_scenes import JOB, other_entry, owner_of, submit_job
 from lab.site import Site, play
 from lab.upstreams import register
 from lab.wire import JobItem, job_body
@@ -76,7 +76,7 @@
 @when('the job of {groups:d} groups of {items:d} items runs for {run_s:d} s')
 def runs_for(context: Any, groups: int, items: int, run_s: int) -> None:
     async def scene(site: Site) -> None:
-        await handed_in(site, item_lengths(groups, items))
+        await submit_job(site, item_lengths(groups, items))
         context.listed = await site.all_results('entry-0', JOB, run_s)
         context.ends = count_ended_engines(site)
 
@@ -95,11 +95,11 @@
 )
 def owner_killed(context: Any, groups: int, items: int, wait_s: int) -> None:
     async def scene(site: Site) -> None:
-        await handed_in(site, item_lengths(groups, items))
+        await submit_job(site, item_lengths(groups, items))
         await asyncio.sleep(wait_s)
         owner = owner_of(site)
         await site.kill(owner)
-        await site.all_results(other(site, owner), JOB, 10)
+        await site.all_results(other_entry(site, owner), JOB, 10)
         context.ends = count_ended_engines(site)
 
     context.plan.scene = scene
@@ -159,7 +159,7 @@
             assert reply is not None
             assert reply.status == 202, reply
             if name == 'd1':
-                await handed_in(site, item_lengths(groups, 5))
+                await submit_job(site, item_lengths(groups, 5))
         context.listed = await site.all_results('entry-0', JOB, run_s)
         spent_s = asyncio.get_running_loop().time() - began_s
         await asyncio.sleep(max(run_s - spent_s, 0))
@@ -209,7 +209,7 @@
                 register, site.store, service
             )
         callers = asyncio.create_task(send_calls(site))
-        await handed_in(site, item_lengths(3, 4), score_path='/score/')
+        await submit_job(site, item_lengths(3, 4), score_path='/score/')
         context.listed = await site.all_results('entry-0', JOB, run_s)
         callers.cancel()
         context.ends = sum(one.crashes.count for one in site.services.values())
--- a/features/steps/steps_listed_steps.py
+++ b/features/steps/steps_listed_steps.py
@@ -12,7 +12,7 @@
 from bergamotdoor.peers.messages import ResultPage
 from bergamotdoor.steps.listed_results import ListedResults
 from bergamotdoor.types import ItemId, JobId
-from features.job_scenes import JOB, handed_in, other, owner_of
+from features.job_scenes import JOB, other_entry, owner_of, submit_job
 from lab.site import Site, play
 from lab.store import StoreMode
 
@@ -96,8 +96,8 @@
 def whole_shown(context: Any) -> None:
     async def prepare(site: Site) -> str:
         await site.start()
-        await handed_in(site, [[2, 2], [3, 3]])
-        reader = other(site, owner_of(site))
+        await submit_job(site, [[2, 2], [3, 3]])
+        reader = other_entry(site, owner_of(site))
         context.all = await site.all_results(reader, JOB)
         assert len(context.all) == 4
         return reader
@@ -137,8 +137,8 @@
 def part_shown(context: Any) -> None:
     async def prepare(site: Site) -> str:
         await site.start()
-        await handed_in(site, [[2, 2], [90, 90]])
-        reader = other(site, owner_of(site))
+        await submit_job(site, [[2, 2], [90, 90]])
+        reader = other_entry(site, owner_of(site))
         await asyncio.sleep(0.5)
         context.part = await read_page(site, reader, 0)
         assert len(context.part) == 2
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -195,8 +195,8 @@
     Mutation(
         "a stall does not count towards an engine's pace",
         'jobs/progress.py',
-        'now - before > STALL or',
-        'False or',
+        'or now - before > STALL_TIMEOUT\n',
+        'or False\n',
         'jobs_progress',
     ),
     Mutation(
@@ -296,14 +296,17 @@
     Mutation(
         'texts without a score are saved for the next owner',
         'jobs/open_items.py',
-        'saved.update((one.spec.item, one.saved()) for one in self.scores)',
+        '        saved.update(\n'
+        '            (one.spec.item, one.to_saved()) '
+        'for one in self.score_queue\n'
+        '        )\n',
         '',
         _SCORING,
     ),
     Mutation(
         'a text that an earlier owner completed is not generated again',
         'jobs/open_items.py',
-        '            self.board.generated(result.item)\n',
+        '            self.item_queue.mark_generated(result.item)\n',
         '',
         _SCORING,
     ),
@@ -348,7 +351,7 @@
     Mutation(
         'a handoff of a job includes what its items have so far',
         'steps/hand_over.py',
-        'partial=run.items.saved(1),',
+        'partial=run.items.saved_transcripts(1),',
         'partial={},',
         'planned_stops',
     ),
@@ -391,7 +394,7 @@
     Mutation(
         'a free slot is reserved for an item that is moved',
         'steps/dispatcher.py',
-        'self._reservations.keep(move.item, move.goal, now)',
+        'self._reservations.reserve_slot(move.item, move.destination, now)',
         'assert now',
         'jobs_progress',
     ),
