--- a/features/steps/jobs_progress_steps.py
+++ b/features/steps/jobs_progress_steps.py
@@ -285,8 +285,10 @@
 
 def items_leaving(context: Any) -> list[str]:
     """Return the items that leave the first engine for the second."""
-    room = {UpstreamId('e1'): 1}
-    found = choose_moves([context.item], room, context.speeds, context.now)
+    free_by_engine = {UpstreamId('e1'): 1}
+    found = choose_moves(
+        [context.item], free_by_engine, context.speeds, context.now
+    )
     return [move.item for move in found]
 
 
@@ -309,8 +311,8 @@
 
 def items_moving(context: Any, one: Progress, now_ms: float) -> list[str]:
     """Return the item if it moves while both engines have a free slot."""
-    room = {UpstreamId('e0'): 1, UpstreamId('e1'): 1}
-    found = choose_moves([one], room, context.speeds, ms(now_ms))
+    free_by_engine = {UpstreamId('e0'): 1, UpstreamId('e1'): 1}
+    found = choose_moves([one], free_by_engine, context.speeds, ms(now_ms))
     return [move.item for move in found]
 
 
@@ -340,14 +342,18 @@
 
 @then('no item moves between them')
 def none_between(context: Any) -> None:
-    room = {UpstreamId('e0'): 2, UpstreamId('e1'): 2}
-    assert not list(choose_moves(context.progresses, room, Speeds(), ms(1400)))
+    free_by_engine = {UpstreamId('e0'): 2, UpstreamId('e1'): 2}
+    assert not list(
+        choose_moves(context.progresses, free_by_engine, Speeds(), ms(1400))
+    )
 
 
 @then('with a third engine that has room both move there')
 def both_move_to_third(context: Any) -> None:
-    room = {UpstreamId('e0'): 2, UpstreamId('e2'): 2}
-    found = list(choose_moves(context.progresses, room, Speeds(), ms(1400)))
+    free_by_engine = {UpstreamId('e0'): 2, UpstreamId('e2'): 2}
+    found = list(
+        choose_moves(context.progresses, free_by_engine, Speeds(), ms(1400))
+    )
     assert [move.is_stalled for move in found] == [True, True], found
 
 
