--- a/bergamotdoor/jobs/placement.py
+++ b/bergamotdoor/jobs/placement.py
@@ -30,7 +30,7 @@
     candidates: Sequence[Upstream],
     loads: Loads,
     speeds: Speeds,
-    home: UpstreamId | None,
+    prompt_upstream: UpstreamId | None,
     avoid: frozenset[UpstreamId],
     now: dt.timedelta,
 ) -> Upstream | None:
@@ -44,7 +44,7 @@
         Load and health of the engines.
     speeds
         Event intervals of the engines.
-    home
+    prompt_upstream
         The engine that has the prompt of the item's group in its cache.
     avoid
         Engines where the item's last run broke, failed or was moved away.
@@ -58,7 +58,9 @@
         for one in preferred or candidates
         if free_slots(one, loads, now) > 0
     ]
-    with_prompt = next((one for one in free if one.upstream == home), None)
+    with_prompt = next(
+        (one for one in free if one.upstream == prompt_upstream), None
+    )
     if with_prompt is not None and _has_low_load(with_prompt, free, loads, now):
         return with_prompt
     return min(
@@ -77,15 +79,21 @@
     now: dt.timedelta,
 ) -> bool:
     """Return whether an engine has at most one request above the minimum."""
-    minimum = min(loads.of(one.upstream).busy(now) for one in free)
-    return loads.of(engine.upstream).busy(now) <= minimum + 1
+    minimum = min(
+        loads.of(one.upstream).estimated_requests(now) for one in free
+    )
+    return loads.of(engine.upstream).estimated_requests(now) <= minimum + 1
 
 
 def free_slots(upstream: Upstream, loads: Loads, now: dt.timedelta) -> int:
     """Return how many more items may be sent to an engine now."""
     load = loads.of(upstream.upstream)
-    return 0 if load.resting(now) else upstream.slots - load.busy(now)
+    return (
+        0
+        if load.is_in_backoff(now)
+        else upstream.slots - load.estimated_requests(now)
+    )
 
 
 def _load_ratio(upstream: Upstream, loads: Loads, now: dt.timedelta) -> float:
-    return loads.of(upstream.upstream).busy(now) / upstream.slots
+    return loads.of(upstream.upstream).estimated_requests(now) / upstream.slots
--- a/bergamotdoor/steps/item_outcome.py
+++ b/bergamotdoor/steps/item_outcome.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING, Final
 
-from bergamotdoor.jobs.board import RunEnd
+from bergamotdoor.jobs.item_queue import RunEnd
 from bergamotdoor.jobs.messages import ItemResult
 from bergamotdoor.observe.events import Counted
 from bergamotdoor.observe.metrics import Stage
@@ -74,10 +74,10 @@
     load = context.loads.of(upstream)
     now = context.clock.elapsed()
     if isinstance(end, ItemResult):
-        load.succeeded()
+        load.record_success()
     elif end is RunEnd.REFUSED:
-        load.refused(now)
+        load.record_refusal(now)
     elif end is RunEnd.REPLACED:
-        context.fleet.replaced(upstream)
+        context.fleet.remove_replaced(upstream)
     elif end in {RunEnd.BROKEN, RunEnd.FAILED}:
-        load.failed(now)
+        load.record_failure(now)
--- a/bergamotdoor/steps/item_run.py
+++ b/bergamotdoor/steps/item_run.py
@@ -10,8 +10,8 @@
 from bergamotdoor.forwarding.upstream_end import note_end
 from bergamotdoor.http.messages import BodyBrokenError, ClientResponse
 from bergamotdoor.http.sending import send
-from bergamotdoor.jobs.board import RunEnd
 from bergamotdoor.jobs.event_stream import EventReader
+from bergamotdoor.jobs.item_queue import RunEnd
 from bergamotdoor.jobs.messages import ItemResult, ItemState
 from bergamotdoor.platform import headers as names
 from bergamotdoor.steps.item_outcome import note_outcome
@@ -47,7 +47,7 @@
     load = context.loads.of(run.upstream.upstream)
     started_at = context.clock.elapsed()
     fingerprint = item_fingerprint(run.job, run.spec)
-    before = context.quarantine.strikes(fingerprint)
+    before = context.quarantine.count_strikes(fingerprint)
     end = await _run_at_engine(context, run)
     now = context.clock.elapsed()
     _log.info(
@@ -58,14 +58,14 @@
         run.upstream.upstream,
         end.value if isinstance(end, RunEnd) else end.state.value,
         utils.to_ms(now - started_at),
-        run.transcript.count,
+        run.transcript.event_count,
         load.in_flight,
     )
     note_outcome(context, run, end, now - started_at)
     if end is RunEnd.BROKEN:
         await note_end(context, run.upstream, fingerprint, before)
     elif isinstance(end, ItemResult):
-        context.quarantine.completed(fingerprint)
+        context.quarantine.clear_strikes(fingerprint)
     return end
 
 
@@ -119,14 +119,16 @@
         return RunEnd.BROKEN
     reported = names.parse_load(fields.first(names.LOAD))
     load = context.loads.of(run.upstream.upstream)
-    load.accepted(context.clock.elapsed())
+    load.record_acceptance(context.clock.elapsed())
     if reported is not None:
-        load.told(reported.running + reported.waiting, context.clock.elapsed())
+        load.record_report(
+            reported.running + reported.waiting, context.clock.elapsed()
+        )
     text = fields.first(names.WEIGHT_VERSION)
     if not text.isdecimal():
         return RunEnd.BROKEN
     version = WeightVersion(int(text))
-    context.fleet.saw(run.upstream.upstream, run.job.model, version)
+    context.fleet.record_version(run.upstream.upstream, run.job.model, version)
     if version < run.job.min_version:
         return RunEnd.OUTDATED
     run.transcript.begin_run(version)
@@ -151,7 +153,9 @@
             error,
         )
         return RunEnd.BROKEN
-    if not run.transcript.fits(run.job.min_version, run.route.single_version):
+    if not run.transcript.has_accepted_versions(
+        run.job.min_version, run.route.single_version
+    ):
         return RunEnd.TOO_OLD
     return ItemResult(
         run.spec.item,
@@ -175,7 +179,7 @@
         if not run.transcript.add(event):
             raise BodyBrokenError(f'event {event.number} out of order')
         if event.version is not None:
-            context.fleet.saw(
+            context.fleet.record_version(
                 run.upstream.upstream, run.job.model, event.version
             )
-    run.progress.advance(run.transcript.count, context.clock.elapsed())
+    run.progress.advance(run.transcript.event_count, context.clock.elapsed())
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -52,16 +52,16 @@
 MUTATIONS: Final = (
     Mutation(
         'a duty holder acts soon after its write, or not at all',
-        'duties/tenure.py',
-        'return now - written_at < self.acting',
+        'duties/lease.py',
+        'return now - written_at < self.acting_time',
         'return now >= written_at',
         _USAGE,
     ),
     Mutation(
         'a successor waits until the previous duty holder may no longer act',
-        'duties/tenure.py',
-        'return now - known.seen_at >= self.quiet',
-        'return now >= known.seen_at',
+        'duties/lease.py',
+        'return now - known.unchanged_since >= self.takeover_delay',
+        'return now >= known.unchanged_since',
         _USAGE,
     ),
     Mutation(
@@ -73,7 +73,7 @@
     ),
     Mutation(
         'a takeover raises the fencing token',
-        'duties/tenure.py',
+        'duties/lease.py',
         'token=FencingToken(known.token + 1)',
         'token=known.token',
         _USAGE,
@@ -195,14 +195,14 @@
     Mutation(
         "a stall does not count towards an engine's pace",
         'jobs/progress.py',
-        'now - before > STALL or',
-        'False or',
+        'or now - before > STALL_TIMEOUT\n',
+        'or False\n',
         'jobs_progress',
     ),
     Mutation(
         'requests that fail together count as one failure of an upstream',
         'fleet/loads.py',
-        '        if self.resting(now):\n            return\n',
+        '        if self.is_in_backoff(now):\n            return\n',
         '',
         'jobs_progress',
     ),
@@ -215,8 +215,8 @@
     ),
     Mutation(
         'a request that may run only once is not retried if it may have run',
-        'calls/tries.py',
-        'if not rules.repeatable and (self.ran or self.running):',
+        'calls/attempts.py',
+        'if not rules.repeatable and (self.possible_runs or self.in_flight):',
         'if False and not rules.repeatable:',
         'gateway_calls',
     ),
@@ -296,22 +296,28 @@
     Mutation(
         'texts without a score are saved for the next owner',
         'jobs/open_items.py',
-        'saved.update((one.spec.item, one.saved()) for one in self.scores)',
+        '        saved.update(\n'
+        '            (one.spec.item, one.to_saved()) '
+        'for one in self.score_queue\n'
+        '        )\n',
         '',
         _SCORING,
     ),
     Mutation(
         'a text that an earlier owner completed is not generated again',
         'jobs/open_items.py',
-        '            self.board.generated(result.item)\n',
+        '            self.item_queue.mark_generated(result.item)\n',
         '',
         _SCORING,
     ),
     Mutation(
         'score calls leave slots free for callers',
         'jobs/scoring.py',
-        'return max(upstream.slots - for_callers - load.others(now), 0)',
-        'return upstream.slots * 10',
+        '    return max(\n'
+        '        upstream.slots - for_callers - '
+        'load.estimated_other_requests(now), 0\n'
+        '    )\n',
+        '    return upstream.slots * 10\n',
         _SCORING,
     ),
     Mutation(
@@ -345,7 +351,7 @@
     Mutation(
         'a handoff of a job includes what its items have so far',
         'steps/hand_over.py',
-        'partial=run.items.saved(1),',
+        'partial=run.items.saved_transcripts(1),',
         'partial={},',
         'planned_stops',
     ),
@@ -388,7 +394,7 @@
     Mutation(
         'a free slot is reserved for an item that is moved',
         'steps/dispatcher.py',
-        'self._reservations.keep(move.item, move.goal, now)',
+        'self._reservations.reserve_slot(move.item, move.destination, now)',
         'assert now',
         'jobs_progress',
     ),
@@ -454,7 +460,7 @@
     Mutation(
         'a request under which upstreams ended is quarantined',
         'fleet/quarantine.py',
-        '        excess = self.strikes(fingerprint) - least\n',
+        '        excess = self.count_strikes(fingerprint) - min_strikes\n',
         '        excess = -1\n',
         _CRASHES,
     ),
@@ -517,7 +523,7 @@
     Mutation(
         'an item under which engines ended is quarantined',
         'steps/item_suspects.py',
-        '        if rest:\n',
+        '        if remaining:\n',
         '        if False:\n',
         'steps_crashes',
     ),
