--- a/bergamotdoor/gateway/batch_front.py
+++ b/bergamotdoor/gateway/batch_front.py
@@ -21,8 +21,8 @@
     from bergamotdoor.calls.manifest import Manifest
     from bergamotdoor.gateway.admission import Admission
     from bergamotdoor.http.messages import HttpRequest
-    from bergamotdoor.steps.jobs_desk import JobsDesk
-    from bergamotdoor.steps.jobs_intake import JobsIntake
+    from bergamotdoor.steps.job_reads import JobReadService
+    from bergamotdoor.steps.job_submission import JobSubmissionService
     from bergamotdoor.types import AccountId
 
 #: The longest time that a read waits for a result, whatever it asks for.
@@ -41,19 +41,22 @@
 
     Parameters
     ----------
-    intake
+    submission_service
         Stores submitted jobs and ends jobs.
-    desk
+    read_service
         Reads results and item bodies, whichever entry owns the job.
     admission
         Decides which client account sends a request.
     """
 
     def __init__(
-        self, intake: JobsIntake, desk: JobsDesk, admission: Admission
+        self,
+        submission_service: JobSubmissionService,
+        read_service: JobReadService,
+        admission: Admission,
     ) -> None:
-        self._intake = intake
-        self._desk = desk
+        self._submission_service = submission_service
+        self._read_service = read_service
         self._admission = admission
 
     async def handle(
@@ -84,7 +87,7 @@
         if isinstance(account, HttpResponse):
             return account
         job = JobId(unquote(path.removeprefix(prefix)))
-        job_account = await self._desk.account_of(job)
+        job_account = await self._read_service.account_of(job)
         if isinstance(job_account, Outcome):
             return _lookup_failure(job, job_account)
         if not manifest.accounts.may_see(account, job_account):
@@ -113,7 +116,9 @@
             spec = parse_job(job, host, path, body)
         except ValueError as error:
             return plain(HTTPStatus.BAD_REQUEST, str(error), job)
-        outcome = await self._intake.submit(job_of_account(spec, account))
+        outcome = await self._submission_service.submit(
+            job_of_account(spec, account)
+        )
         _log.info(
             'gateway: job %s submitted, %d items, version %d and newer: %s',
             job,
@@ -146,7 +151,9 @@
         wait_ms = min(
             number_of(headers.first(names.WAIT_MS)), _MAX_READ_WAIT_MS
         )
-        page = await self._desk.read(job, after, utils.from_ms(wait_ms))
+        page = await self._read_service.read_results(
+            job, after, utils.from_ms(wait_ms)
+        )
         if isinstance(page, Outcome):
             return _lookup_failure(job, page)
         return HttpResponse(
@@ -157,13 +164,13 @@
 
     async def _read_body(self, job: JobId, query: str) -> HttpResponse:
         item = ItemId(parse_qs(query).get('id', [''])[0])
-        body = await self._desk.body(job, item)
+        body = await self._read_service.read_body(job, item)
         if isinstance(body, Outcome):
             return _lookup_failure(job, body)
         return HttpResponse(status=int(HTTPStatus.OK), body=body)
 
     async def _end_job(self, job: JobId) -> HttpResponse:
-        outcome = await self._intake.end(job)
+        outcome = await self._submission_service.end(job)
         _log.info(
             'gateway: job %s: end requested: %s',
             job,
--- a/bergamotdoor/gateway/daemon.py
+++ b/bergamotdoor/gateway/daemon.py
@@ -107,13 +107,13 @@
     async def stop(self) -> None:
         """Stop as planned, within the grace period.
 
-        The entry first leaves the balancer's rotation and hands over its
+        The entry first leaves the balancer's rotation and hands off its
         jobs, then completes the calls that are in progress.
         """
         _log.info('gateway: %s stops', self._settings.node)
         stop_by = self._clock.elapsed() + self._settings.grace - _STOP_MARGIN
         await self._leave_rotation()
-        # Handing over the jobs may have taken longer than _ROTATION_EXIT.
+        # Handing off the jobs may have taken longer than _ROTATION_EXIT.
         drain = stop_by - self._clock.elapsed()
         await self._servers.callers.stop(max(drain, dt.timedelta()))
         if self._parts.usage is not None:
@@ -185,7 +185,7 @@
         self._parts.news_source.closed = True
         self._servers.callers.end_connections()
         began = self._clock.elapsed()
-        await self._parts.hand_over.run()
+        await self._parts.handoff.hand_off_jobs()
         spent = self._clock.elapsed() - began
         await self._clock.sleep(_ROTATION_EXIT - spent)
 
@@ -210,7 +210,7 @@
             self._servers.callers.use_limits(caller_limits(manifest.limits))
             if self._parts.usage is not None:
                 self._parts.usage.wanted = bool(manifest.accounts)
-        self._parts.owner.poke()
+        self._parts.owner.wake_up()
 
     async def _resume_jobs(self) -> None:
         while not await self._parts.resume():
--- a/bergamotdoor/gateway/following.py
+++ b/bergamotdoor/gateway/following.py
@@ -59,7 +59,9 @@
     """
     gather = context.settings.drain * _FLEET_GATHER_SHARE
     wait = context.settings.contact - _LISTING_RESERVE
-    fleet = FleetView(context.fleet, context.clock, owner.poke, context.startup)
+    fleet = FleetView(
+        context.fleet, context.clock, owner.wake_up, context.startup
+    )
     revocation = context.settings.revocation
     proof = None if revocation is None else revocation * _PROOF_INTERVAL_SHARE
     manifest_watcher = Watcher(
--- a/bergamotdoor/gateway/inspection.py
+++ b/bergamotdoor/gateway/inspection.py
@@ -201,7 +201,7 @@
         return [
             JobState(
                 run.spec.job,
-                run.found.record.term,
+                run.stored_job.record.term,
                 run.ended,
                 len(run.spec.items),
                 len(run.ledger),
--- a/bergamotdoor/gateway/wiring.py
+++ b/bergamotdoor/gateway/wiring.py
@@ -11,12 +11,12 @@
 from bergamotdoor.objects.job_store import JobStore
 from bergamotdoor.peers.news_source import NewsSource
 from bergamotdoor.reporting.usage_duty import UsageDuty
-from bergamotdoor.steps.hand_over import HandOver
 from bergamotdoor.steps.job_finder import JobFinder
-from bergamotdoor.steps.jobs_desk import JobsDesk
-from bergamotdoor.steps.jobs_intake import JobsIntake
-from bergamotdoor.steps.other_entries import OtherEntries
+from bergamotdoor.steps.job_handoff import JobHandoff
+from bergamotdoor.steps.job_reads import JobReadService
+from bergamotdoor.steps.job_submission import JobSubmissionService
 from bergamotdoor.steps.owner import JobOwner
+from bergamotdoor.steps.peer_notifier import PeerNotifier
 from bergamotdoor.steps.peer_service import PeerService
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
         self.store = JobStore(context.store)
         self.owner = JobOwner(context, self.store, manifests)
         self.finder = JobFinder(context, self.store, self.owner)
-        self.others = OtherEntries(
+        self.notifier = PeerNotifier(
             self.finder,
             access.peers,
             access.directory,
@@ -59,8 +59,8 @@
             context.clock,
             context.settings.zone,
         )
-        self.hand_over = HandOver(
-            self.owner, self.others, self.store, context.clock
+        self.handoff = JobHandoff(
+            self.owner, self.notifier, self.store, context.clock
         )
         self.news_source = NewsSource(
             context.store, context.clock, tasks, access.sharing
@@ -69,7 +69,7 @@
         self.peer_service = PeerService(
             self.owner,
             self.finder,
-            self.others,
+            self.notifier,
             context,
             access.direct,
             self.news_source,
@@ -80,8 +80,8 @@
             self.usage = UsageDuty(
                 context.settings, access, context.client, context.clock, tasks
             )
-            for kind in self.usage.messages:
-                self.peer_service.register(kind, self.usage.take)
+            for message_type in self.usage.messages:
+                self.peer_service.register(message_type, self.usage.take)
         self.front = self._make_front(context, access, manifests)
 
     async def resume(self) -> bool:
@@ -104,15 +104,17 @@
         self, context: Context, access: StoreAccess, manifests: ManifestView
     ) -> Front:
         admission = Admission(context, manifests)
-        intake = JobsIntake(
-            context, self.store, self.owner, self.finder, self.others
+        submission_service = JobSubmissionService(
+            context, self.store, self.owner, self.finder, self.notifier
+        )
+        read_service = JobReadService(
+            self.owner, self.finder, access.peers, context.clock
         )
-        desk = JobsDesk(self.owner, self.finder, access.peers, context.clock)
         counter = None if self.usage is None else self.usage.counter
         return Front(
             context,
             manifests,
             admission,
             CallFront(context, counter),
-            BatchFront(intake, desk, admission),
+            BatchFront(submission_service, read_service, admission),
         )
--- a/bergamotdoor/steps/dispatcher.py
+++ b/bergamotdoor/steps/dispatcher.py
@@ -48,14 +48,16 @@
     ----------
     context
         Services of the process.
-    poke
+    on_item_end
         Callback without arguments. It is called after the run of an item has
         ended, when a slot is free or the item waits to run again.
     """
 
-    def __init__(self, context: Context, poke: Callable[[], None]) -> None:
+    def __init__(
+        self, context: Context, on_item_end: Callable[[], None]
+    ) -> None:
         self._context = context
-        self._on_item_end = poke
+        self._on_item_end = on_item_end
         self._reservations = Reservations(context.loads)
         self._suspects = ItemSuspects(context)
 
@@ -65,7 +67,9 @@
         upstreams = self._eligible_engines(run, route)
         queued = run.items.item_queue.next_item(now)
         while queued is not None:
-            wait = self._suspects.held(run.spec, queued.spec, upstreams, now)
+            wait = self._suspects.wait_time(
+                run.spec, queued.spec, upstreams, now
+            )
             if wait:
                 run.items.item_queue.defer(queued, now + wait)
             else:
@@ -126,8 +130,8 @@
 
         A reserved slot has priority.
         """
-        if self._suspects.runs_apart(run.spec, queued.spec):
-            upstreams = self._suspects.without_others(upstreams)
+        if self._suspects.is_isolated(run.spec, queued.spec):
+            upstreams = self._suspects.engines_without_isolated(upstreams)
         group = queued.spec.group
         reserved = self._reservations.release_slot(queued.spec.item)
         chosen = next(
@@ -165,7 +169,9 @@
         )
         # Counted before the task starts, so that the next choice of an engine
         # includes this run.
-        self._suspects.enter(run.spec, queued.spec, upstream.upstream)
+        self._suspects.record_item_start(
+            run.spec, queued.spec, upstream.upstream
+        )
         load = self._context.loads.of(upstream.upstream)
         load.record_sent(now)
         task = start_counted(load, self._run_item(run, queued, item))
@@ -194,7 +200,7 @@
 
     def _remove_run(self, run: JobRun, item: ItemRun) -> None:
         run.running.pop(item.spec.item, None)
-        self._suspects.leave(item.spec.item)
+        self._suspects.record_item_end(item.spec.item)
         self._context.speeds.add_intervals(item.progress)
 
     def _move_item(self, run: JobRun, move: Move) -> None:
--- a/bergamotdoor/steps/item_bodies.py
+++ b/bergamotdoor/steps/item_bodies.py
@@ -41,7 +41,7 @@
         item,
         body.value,
         run.state.value,
-        run.found.record.term,
+        run.stored_job.record.term,
         len(run.ledger),
         len(run.spec.items),
     )
--- a/bergamotdoor/steps/item_outcome.py
+++ b/bergamotdoor/steps/item_outcome.py
@@ -28,7 +28,7 @@
 )
 
 
-def note_outcome(
+def record_outcome(
     context: Context,
     run: ItemRun,
     end: ItemResult | RunEnd,
--- a/bergamotdoor/steps/item_request.py
+++ b/bergamotdoor/steps/item_request.py
@@ -23,7 +23,7 @@
 #: the first piece. Engines under load pause for a few hundred milliseconds.
 #: An engine that sends nothing for longer hangs, and after this time its
 #: items have to run elsewhere.
-SILENCE: Final = dt.timedelta(seconds=2)
+MAX_SILENCE: Final = dt.timedelta(seconds=2)
 
 
 class ItemRun(msgspec.Struct, frozen=True):
@@ -71,6 +71,6 @@
         target=run.spec.path,
         headers=Headers.of(fields),
         body=run.spec.body,
-        timeout=SILENCE,
+        timeout=MAX_SILENCE,
         close_ends_body=True,
     )
--- a/bergamotdoor/steps/item_run.py
+++ b/bergamotdoor/steps/item_run.py
@@ -14,7 +14,7 @@
 from bergamotdoor.jobs.item_queue import RunEnd
 from bergamotdoor.jobs.messages import ItemResult, ItemState
 from bergamotdoor.platform import headers as names
-from bergamotdoor.steps.item_outcome import note_outcome
+from bergamotdoor.steps.item_outcome import record_outcome
 from bergamotdoor.steps.item_request import item_fingerprint, item_request
 from bergamotdoor.types import WeightVersion
 
@@ -61,7 +61,7 @@
         run.transcript.event_count,
         load.in_flight,
     )
-    note_outcome(context, run, end, now - started_at)
+    record_outcome(context, run, end, now - started_at)
     if end is RunEnd.BROKEN:
         await note_end(context, run.upstream, fingerprint, before)
     elif isinstance(end, ItemResult):
--- a/bergamotdoor/steps/job_keeper.py
+++ b/bergamotdoor/steps/item_saving.py
@@ -21,7 +21,7 @@
 _MIN_EVENTS: Final = 25
 
 
-async def keep_open_items(run: JobRun, store: JobStore, clock: Clock) -> None:
+async def save_open_items(run: JobRun, store: JobStore, clock: Clock) -> None:
     """Save the transcripts of open items at intervals, while items run.
 
     Failure: the owner is killed while a job waits for its longest items, or
--- a/bergamotdoor/steps/item_suspects.py
+++ b/bergamotdoor/steps/item_suspects.py
@@ -59,7 +59,7 @@
         #: How many isolated suspects run at each engine.
         self._isolated_count: Counter[UpstreamId] = Counter()
 
-    def held(
+    def wait_time(
         self,
         job: JobSpec,
         spec: ItemSpec,
@@ -95,9 +95,13 @@
             return _RECHECK_DELAY
         if strikes < _ISOLATION_STRIKES:
             return _NO_WAIT
-        return _NO_WAIT if self.without_others(upstreams) else _RECHECK_DELAY
+        return (
+            _NO_WAIT
+            if self.engines_without_isolated(upstreams)
+            else _RECHECK_DELAY
+        )
 
-    def runs_apart(self, job: JobSpec, spec: ItemSpec) -> bool:
+    def is_isolated(self, job: JobSpec, spec: ItemSpec) -> bool:
         """Return whether an item is isolated from other suspects."""
         quarantine = self._context.quarantine
         if not quarantine:
@@ -105,7 +109,7 @@
         fingerprint = item_fingerprint(job, spec)
         return quarantine.count_strikes(fingerprint) >= _ISOLATION_STRIKES
 
-    def without_others(
+    def engines_without_isolated(
         self, upstreams: tuple[Upstream, ...]
     ) -> tuple[Upstream, ...]:
         """Return those engines that run no isolated suspect."""
@@ -113,7 +117,9 @@
             one for one in upstreams if not self._isolated_count[one.upstream]
         )
 
-    def enter(self, job: JobSpec, spec: ItemSpec, upstream: UpstreamId) -> None:
+    def record_item_start(
+        self, job: JobSpec, spec: ItemSpec, upstream: UpstreamId
+    ) -> None:
         """Record that an item starts at an engine, if it is a suspect."""
         quarantine = self._context.quarantine
         if not quarantine:
@@ -125,7 +131,7 @@
             self._running[spec.item] = _Suspect(fingerprint, upstream, isolated)
             self._isolated_count[upstream] += isolated
 
-    def leave(self, item: ItemId) -> None:
+    def record_item_end(self, item: ItemId) -> None:
         """Record that the run of an item has ended, suspect or not."""
         suspect = self._running.pop(item, None)
         if suspect is not None:
--- a/bergamotdoor/steps/job_finder.py
+++ b/bergamotdoor/steps/job_finder.py
@@ -61,14 +61,14 @@
         """Return whether a job's record names this process as the owner."""
         return record.owner == self._context.settings.node
 
-    def owner_of(self, model: ModelId) -> Address | None:
+    def owner_of_model(self, model: ModelId) -> Address | None:
         """Return the address of the owner of a model's newest job.
 
         It is ``None`` if no job of the model is known.
         """
         return self._newest_owners.get(model)
 
-    def remember(
+    def cache_record(
         self, job: JobId, record: JobRecord, model: ModelId | None = None
     ) -> None:
         """Cache a job's record, unless a record of a later term is known.
@@ -99,7 +99,7 @@
         known = self._records.get(job)
         return known is None or known.term <= record.term
 
-    async def record(self, job: JobId) -> JobRecord | Outcome:
+    async def find_record(self, job: JobId) -> JobRecord | Outcome:
         """Return a job's record, from the cache or the store.
 
         It is ABSENT if there is no such job.
@@ -123,7 +123,7 @@
         return Outcome.NOT_DONE
 
     async def take_over(
-        self, job: JobId, silent: JobRecord
+        self, job: JobId, unresponsive: JobRecord
     ) -> JobRun | Outcome:
         """Take over a job whose owner does not answer.
 
@@ -131,7 +131,7 @@
         ----------
         job
             The job.
-        silent
+        unresponsive
             The record that names the owner which did not answer.
 
         Returns
@@ -146,7 +146,7 @@
             return found
         if self.is_own(found.record) or found.status.ended:
             return await self.adopt(found)
-        if found.record.term > silent.term:
+        if found.record.term > unresponsive.term:
             # Another process took it over first. The next read goes there.
             return Outcome.NOT_DONE
         _log.warning(
@@ -168,7 +168,7 @@
             return Outcome.NOT_DONE
         known = self._owner.get(found.job)
         if known is not None and known.state is RunState.RUNNING:
-            known.take_record(found)
+            known.update_record(found)
             return known
         started_at = self._context.clock.elapsed()
         loaded = await self._store.load(found.job)
@@ -178,7 +178,7 @@
             found, msgspec.structs.replace(loaded, read_at=started_at)
         )
 
-    async def take_handed(
+    async def accept_handoff(
         self, found: FoundJob, loaded: LoadedJob
     ) -> JobRun | Outcome:
         """Run a job whose stopping owner has sent its whole state.
@@ -206,7 +206,7 @@
         claimed = await self._store.claim(found, own)
         if isinstance(claimed, Outcome):
             return claimed
-        self.remember(claimed.job, claimed.record)
+        self.cache_record(claimed.job, claimed.record)
         if not self.is_own(claimed.record):
             return Outcome.NOT_DONE
         return claimed
@@ -215,5 +215,5 @@
         """Read a job's record from the store and cache it."""
         found = await self._store.find(job)
         if not isinstance(found, Outcome):
-            self.remember(job, found.record)
+            self.cache_record(job, found.record)
         return found
--- a/bergamotdoor/steps/hand_over.py
+++ b/bergamotdoor/steps/job_handoff.py
@@ -27,8 +27,8 @@
     from bergamotdoor.objects.job_store import JobStore
     from bergamotdoor.peers.messages import AdoptJob
     from bergamotdoor.steps.job_run import JobRun
-    from bergamotdoor.steps.other_entries import OtherEntries
     from bergamotdoor.steps.owner import JobOwner
+    from bergamotdoor.steps.peer_notifier import PeerNotifier
 
 #: How long a stopping owner serves the readers of a job during its handoff,
 #: before it drops the job. Failure: neither the store nor other entries
@@ -41,14 +41,14 @@
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
-class HandOver:
+class JobHandoff:
     """Hands off the jobs of a stopping process to other entries.
 
     Parameters
     ----------
     owner
         The running jobs of this process.
-    others
+    notifier
         Client that offers a job to other entries.
     store
         Store in which the partial transcripts of the items are saved.
@@ -59,33 +59,33 @@
     def __init__(
         self,
         owner: JobOwner,
-        others: OtherEntries,
+        notifier: PeerNotifier,
         store: JobStore,
         clock: Clock,
     ) -> None:
         self._owner = owner
-        self._others = others
+        self._notifier = notifier
         self._store = store
         self._clock = clock
 
-    async def run(self) -> None:
+    async def hand_off_jobs(self) -> None:
         """Stop all items and hand off their jobs.
 
         Return once other entries have accepted the jobs or all offers have
         failed. Until then, but no longer than a second, readers are served
         from the stopped jobs.
         """
-        runs = self._owner.take_no_more()
+        runs = self._owner.stop_accepting_jobs()
         await asyncio.gather(*(self._hand_off(run) for run in runs))
 
     async def _hand_off(self, run: JobRun) -> None:
         message = _takeover_message(run)
         run.stop()
         handoff = asyncio.gather(
-            self._others.hand_on(message), self._save_items(message)
+            self._notifier.offer_job(message), self._save_items(message)
         )
         await asyncio.wait((handoff,), timeout=_SERVE_DURING_HANDOFF_S)
-        self._owner.forget(run.spec.job)
+        self._owner.drop_job(run.spec.job)
         await handoff
 
     async def _save_items(self, message: TakeOver) -> None:
@@ -102,8 +102,8 @@
 
 def _takeover_message(run: JobRun) -> TakeOver:
     return TakeOver(
-        record=run.found.record,
-        revision=run.found.revision,
+        record=run.stored_job.record,
+        revision=run.stored_job.revision,
         spec=run.spec,
         results=run.ledger.results_from(0),
         next_number=run.ledger.next_number,
@@ -111,14 +111,14 @@
     )
 
 
-def found_in(message: TakeOver | AdoptJob) -> FoundJob:
+def found_job_in(message: TakeOver | AdoptJob) -> FoundJob:
     """Return the job's record that a message carries."""
     return FoundJob(
         message.spec.job, message.record, JobStatus(), message.revision
     )
 
 
-def loaded_in(message: TakeOver) -> LoadedJob:
+def loaded_job_in(message: TakeOver) -> LoadedJob:
     """Return the job's body, results and partial transcripts of a message."""
     ledger = Ledger.from_results(message.results, message.next_number)
     return LoadedJob(message.spec, ledger, message.partial)
--- a/bergamotdoor/steps/jobs_desk.py
+++ b/bergamotdoor/steps/job_reads.py
@@ -17,8 +17,8 @@
 )
 from bergamotdoor.steps.item_bodies import body_of
 from bergamotdoor.steps.job_run import JobRun
-from bergamotdoor.steps.ledger_sync import FRESH
-from bergamotdoor.steps.listed_results import ListedResults
+from bergamotdoor.steps.ledger_sync import MAX_PROOF_AGE
+from bergamotdoor.steps.result_cache import ResultCache
 from bergamotdoor.stored import Outcome
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
 _NO_WAIT: Final = dt.timedelta()
 
 
-class JobsDesk:
+class JobReadService:
     """Service for reading results and item bodies of jobs.
 
     A job that this process doesn't own is read from its owner. If the owner
@@ -72,7 +72,7 @@
         peers: PeerClient,
         clock: Clock,
     ) -> None:
-        self._cached_results = ListedResults()
+        self._cached_results = ResultCache()
         self._owner = owner
         self._finder = finder
         self._peers = peers
@@ -83,10 +83,10 @@
         run = self._owner.get(job)
         if run is not None:
             return run.spec.account
-        record = await self._finder.record(job)
+        record = await self._finder.find_record(job)
         return record if isinstance(record, Outcome) else record.account
 
-    async def read(
+    async def read_results(
         self, job: JobId, after: int, wait: dt.timedelta
     ) -> ResultPage | Outcome:
         """Return listed results of a job; ABSENT if there is no such job.
@@ -109,7 +109,7 @@
             )
         return page
 
-    async def body(self, job: JobId, item: ItemId) -> bytes | Outcome:
+    async def read_body(self, job: JobId, item: ItemId) -> bytes | Outcome:
         """Return an item's request body; ABSENT if it is listed or unknown."""
         message = ReadBody(job, item)
         found = await self._query_owner(job, message, dt.timedelta())
@@ -131,9 +131,11 @@
         """
         run = self._owner.get(job)
         if run is not None:
-            return await page_of(run, after, wait, LARGEST_PAGE_BYTES)
-        cached = self._cached_results.shown(job, after, LARGEST_PAGE_BYTES)
-        if cached.enough:
+            return await wait_for_page(run, after, wait, LARGEST_PAGE_BYTES)
+        cached = self._cached_results.cached_page(
+            job, after, LARGEST_PAGE_BYTES
+        )
+        if cached.is_complete:
             return ResultPage(cached.total, cached.results)
         next_position = after + len(cached.results)
         more = await self._read_from_owner(
@@ -157,11 +159,11 @@
         message = ReadResults(job, after, wait // _MILLISECOND)
         found = await self._query_owner(job, message, wait)
         if isinstance(found, JobRun):
-            return await page_of(found, after, wait, LARGEST_PAGE_BYTES)
+            return await wait_for_page(found, after, wait, LARGEST_PAGE_BYTES)
         if isinstance(found, ItemBody):
             return Outcome.NOT_DONE
         if isinstance(found, ResultPage):
-            self._cached_results.take(job, after, found)
+            self._cached_results.add_page(job, after, found)
         return found
 
     async def _query_owner(
@@ -179,7 +181,7 @@
         run = self._owner.get(job)
         if run is not None:
             return run
-        record = await self._finder.record(job)
+        record = await self._finder.find_record(job)
         if isinstance(record, Outcome):
             return record
         reply = await self._ask_owner(record, message, wait)
@@ -189,7 +191,7 @@
         if found is not Outcome.NOT_DONE:
             return found
         # Another entry may have taken the job over meanwhile.
-        newer = await self._finder.record(job)
+        newer = await self._finder.find_record(job)
         if isinstance(newer, Outcome) or newer == record:
             return found
         return await self._ask_owner(newer, message, wait) or found
@@ -218,7 +220,7 @@
         return reply if isinstance(reply, (ResultPage, ItemBody)) else None
 
 
-async def page_of(
+async def wait_for_page(
     run: JobRun,
     after: int,
     wait: dt.timedelta,
@@ -252,7 +254,7 @@
     the reader's entry stops waiting.
     """
     final_wait = min(wait, _STORE_CHECK_TIME)
-    await run.wait_beyond(after, (wait - final_wait).total_seconds())
+    await run.wait_for_result(after, (wait - final_wait).total_seconds())
     if not _has_more(run, after):
         is_proven = await _check_store(run, after, final_wait)
         # Results may have been listed while the store was asked.
@@ -287,13 +289,13 @@
     final_wait
         The last part of the wait.
     """
-    waiting = run.wait_beyond(after, final_wait.total_seconds())
+    waiting = run.wait_for_result(after, final_wait.total_seconds())
     try:
         async with asyncio.timeout(
             (final_wait + _STORE_CHECK_MARGIN).total_seconds()
         ):
             is_proven, _ = await asyncio.gather(
-                run.catch_up(FRESH - final_wait), waiting
+                run.catch_up(MAX_PROOF_AGE - final_wait), waiting
             )
     except TimeoutError:
         return False
--- a/bergamotdoor/steps/job_run.py
+++ b/bergamotdoor/steps/job_run.py
@@ -55,7 +55,7 @@
         Services of the process.
     store
         Store of the results.
-    found
+    stored_job
         The job's record.
     loaded
         The job's body, its results so far and saved partial transcripts.
@@ -68,16 +68,16 @@
         self,
         context: Context,
         store: JobStore,
-        found: FoundJob,
+        stored_job: FoundJob,
         loaded: LoadedJob,
         due_at: dt.timedelta,
     ) -> None:
-        self.found = found
+        self.stored_job = stored_job
         self.spec = loaded.spec
         self.ledger = loaded.ledger
         self.due_at = due_at
-        self.began = context.clock.elapsed()
-        self.sync = LedgerSync(
+        self.started_at = context.clock.elapsed()
+        self.ledger_sync = LedgerSync(
             loaded.spec.job,
             loaded.ledger,
             store,
@@ -85,9 +85,9 @@
             loaded.read_at,
         )
         #: Set when results can be listed, or the job is stopped or ended.
-        self.finished = asyncio.Event()
+        self.results_ready = asyncio.Event()
         self.items = OpenItems(
-            loaded.spec, loaded.ledger, loaded.partial, self.finished.set
+            loaded.spec, loaded.ledger, loaded.partial, self.results_ready.set
         )
         self.running: dict[ItemId, RunningItem] = {}
         #: Score calls in progress.
@@ -95,11 +95,11 @@
         self.state = RunState.RUNNING
         self._context = context
         #: When the job's route was last known.
-        self._route_known_at = self.began
+        self._route_known_at = self.started_at
         #: Set and replaced when there are new results or the job is over.
         self._results_changed = asyncio.Event()
 
-    def routeless(self, route: Route | None) -> dt.timedelta:
+    def time_without_route(self, route: Route | None) -> dt.timedelta:
         """Return for how long the job's route has not been known.
 
         Parameters
@@ -112,7 +112,7 @@
             self._route_known_at = now
         return now - self._route_known_at
 
-    def take_record(self, found: FoundJob) -> None:
+    def update_record(self, found: FoundJob) -> None:
         """Replace the job's record by one of a later term.
 
         Failure: the store answers a lookup of the record seconds late, after
@@ -120,8 +120,8 @@
         with an older term than the store has, treats its own newer record as
         another owner's, and stops the job. So an older record is ignored.
         """
-        if found.record.term > self.found.record.term:
-            self.found = found
+        if found.record.term > self.stored_job.record.term:
+            self.stored_job = found
 
     @property
     def active(self) -> bool:
@@ -134,16 +134,16 @@
         """Whether the job's end was confirmed."""
         return self.state is RunState.ENDED
 
-    def take_scoring(self, task: asyncio.Task[None]) -> None:
+    def track_score_task(self, task: asyncio.Task[None]) -> None:
         """Track the task of a score call, to be cancelled with the job."""
         self._score_tasks.add(task)
         task.add_done_callback(self._score_tasks.discard)
 
-    def give_up(self) -> None:
+    def mark_open_items_lost(self) -> None:
         """Finish every item that has no result as lost."""
         self.items.mark_open_items_lost()
         self._cancel_all()
-        self.finished.set()
+        self.results_ready.set()
 
     def end(self) -> None:
         """Stop the job for good; its listed results remain readable."""
@@ -160,14 +160,16 @@
         """
         self.state = RunState.STOPPED
         self._cancel_all()
-        self.finished.set()
-        self.announce()
+        self.results_ready.set()
+        self.notify_readers()
 
-    def note_end(self) -> None:
+    def record_job_end(self) -> None:
         """Record the job's duration and result count in metrics and log."""
         metrics = self._context.metrics
         listed = len(self.ledger)
-        metrics.record(Stage.STEP, self._context.clock.elapsed() - self.began)
+        metrics.record(
+            Stage.STEP, self._context.clock.elapsed() - self.started_at
+        )
         metrics.count(Counted.JOB_ENDED)
         metrics.count(Counted.RESULTS_LISTED, amount=listed)
         _log.info(
@@ -177,12 +179,12 @@
             len(self.spec.items),
         )
 
-    async def catch_up(self, age: dt.timedelta) -> bool:
+    async def catch_up(self, max_proof_age: dt.timedelta) -> bool:
         """Add the results that other owners have listed.
 
         Parameters
         ----------
-        age
+        max_proof_age
             How old the last check of the store may be without a new one.
 
         Returns
@@ -191,18 +193,18 @@
             Whether all listed results are known.
         """
         before = len(self.ledger)
-        known = await self.sync.catch_up(age)
+        known = await self.ledger_sync.catch_up(max_proof_age)
         if len(self.ledger) > before:
-            self.take_results(self.ledger.results_from(before))
-            self.announce()
+            self.apply_listed_results(self.ledger.results_from(before))
+            self.notify_readers()
         return known
 
-    def take_results(self, results: tuple[ItemResult, ...]) -> None:
+    def apply_listed_results(self, results: tuple[ItemResult, ...]) -> None:
         """Record results that were listed, by this owner or another one."""
         for result in results:
             self.items.mark_stored(result)
 
-    async def wait_beyond(self, after: int, timeout_s: float) -> None:
+    async def wait_for_result(self, after: int, timeout_s: float) -> None:
         """Wait until a result has a position, every item is listed, or timeout.
 
         Parameters
@@ -224,7 +226,7 @@
         """Whether every item is listed."""
         return len(self.ledger) >= len(self.spec.items)
 
-    def announce(self) -> None:
+    def notify_readers(self) -> None:
         """Notify the waiting readers of new results or of the job's end."""
         self._results_changed.set()
         self._results_changed = asyncio.Event()
--- a/bergamotdoor/steps/jobs_intake.py
+++ b/bergamotdoor/steps/job_submission.py
@@ -16,12 +16,12 @@
     from bergamotdoor.jobs.messages import JobSpec
     from bergamotdoor.objects.job_store import JobStore
     from bergamotdoor.steps.job_finder import JobFinder
-    from bergamotdoor.steps.other_entries import OtherEntries
     from bergamotdoor.steps.owner import JobOwner
+    from bergamotdoor.steps.peer_notifier import PeerNotifier
     from bergamotdoor.types import JobId
 
 
-class JobsIntake:
+class JobSubmissionService:
     """Service that submits jobs to the store and ends them.
 
     Parameters
@@ -34,7 +34,7 @@
         The jobs that this process owns.
     finder
         Cache of job owners.
-    others
+    notifier
         Client that notifies other entries of jobs.
     """
 
@@ -44,16 +44,16 @@
         store: JobStore,
         owner: JobOwner,
         finder: JobFinder,
-        others: OtherEntries,
+        notifier: PeerNotifier,
     ) -> None:
         self._context = context
         self._store = store
         self._owner = owner
         self._finder = finder
-        self._others = others
+        self._notifier = notifier
 
     async def submit(self, spec: JobSpec) -> Outcome | None:
-        """Store a job and have its home entry run it.
+        """Store a job and have its preferred owner run it.
 
         A job that was submitted before is not stored again.
 
@@ -63,18 +63,18 @@
             ``None`` once the job is stored; FOREIGN if the job belongs to
             another client account.
         """
-        submitted = await self._store.submit(spec, self._home_record(spec))
+        submitted = await self._store.submit(spec, self._first_record(spec))
         if isinstance(submitted, Outcome):
             return submitted
         found = submitted.found
         if found.record.account not in (NO_ACCOUNT, spec.account):
             return Outcome.FOREIGN
-        self._finder.remember(found.job, found.record, spec.model)
-        self._others.tell_owner(found, spec.model)
+        self._finder.cache_record(found.job, found.record, spec.model)
+        self._notifier.announce_owner(found, spec.model)
         if not submitted.created:
-            self._others.see_run(found, spec)
+            self._notifier.ensure_running(found, spec)
         elif not self._finder.is_own(found.record):
-            self._others.hand_over(found, spec)
+            self._notifier.send_to_preferred_owner(found, spec)
         elif self._owner.get(found.job) is None:
             self._owner.adopt(found, LoadedJob(spec, Ledger()))
         return None
@@ -88,19 +88,19 @@
         # This process may run the job, or may have run it before, although
         # another entry is its owner now.
         if found is not None:
-            self._finder.remember(job, found.record)
+            self._finder.cache_record(job, found.record)
         if found is None or not self._finder.is_own(found.record):
-            self._others.tell_of_end(job)
+            self._notifier.notify_of_end(job)
         return None
 
-    def _home_record(self, spec: JobSpec) -> JobRecord:
-        """Return the first record of a job, which names its home entry."""
+    def _first_record(self, spec: JobSpec) -> JobRecord:
+        """Return the first record of a job, which names its preferred owner."""
         node = self._context.settings.node
         own = self._context.own_entry
-        entries = dict(self._others.directory.entries)
+        entries = dict(self._notifier.directory.entries)
         if not self._owner.stopping:
             entries[node] = own
         order = home_order(spec.model, entries, self._context.settings.zone)
-        home = order[0] if order else node
-        address = entries.get(home, own).address
-        return JobRecord(home, address, 1, 0, spec.account)
+        preferred = order[0] if order else node
+        address = entries.get(preferred, own).address
+        return JobRecord(preferred, address, 1, 0, spec.account)
--- a/bergamotdoor/steps/ledger_sync.py
+++ b/bergamotdoor/steps/ledger_sync.py
@@ -21,8 +21,8 @@
 #: there are no more results. Any position that was read anywhere must be
 #: readable at every entry a second later, and the response takes part of that
 #: second.
-FRESH_MS: Final = 600
-FRESH: Final = dt.timedelta(milliseconds=FRESH_MS)
+MAX_PROOF_AGE_MS: Final = 600
+MAX_PROOF_AGE: Final = dt.timedelta(milliseconds=MAX_PROOF_AGE_MS)
 #: How long a reader waits for another call of the store to end.
 _LOCK_TIMEOUT_S: Final = 0.4
 #: Pauses between the attempts to store the same record.
@@ -37,15 +37,15 @@
     Failure: a job is taken over and its former owner does not know it yet.
     Symptom: the former owner tells a reader that there is no result at a
     position which the reader has already read elsewhere. Records are numbered
-    without gaps, so if the store has no record with the next number, the
-    ledger is proven complete at that moment. A proof that is older than
-    ``FRESH`` is renewed before a reader is told that there are no more
+    without gaps, so if the store has no record with the next number, the ledger
+    is proven complete at that moment. A proof that is older than
+    ``MAX_PROOF_AGE`` is renewed before a reader is told that there are no more
     results.
 
-    Failure: a job is submitted while its home entry is paused, and another
-    entry takes it over. Symptom: the home entry receives the job late, starts
-    with an empty ledger and denies results that were read elsewhere. A ledger
-    that was not read from the store is therefore no proof.
+    Failure: a job is submitted while its preferred owner is paused, and another
+    entry takes it over. Symptom: the preferred owner receives the job late,
+    starts with an empty ledger and denies results that were read elsewhere. A
+    ledger that was not read from the store is therefore no proof.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
         self._proven_at = proven_at
         self._lock = asyncio.Lock()
 
-    async def add(
+    async def append_batch(
         self, writer: str, batch: tuple[ItemResult, ...]
     ) -> ResultRecord | None:
         """Store results under the next number, or read the record there.
@@ -113,16 +113,21 @@
                 else None
             )
 
-    async def catch_up(self, age: dt.timedelta = FRESH) -> bool:
+    async def catch_up(
+        self, max_proof_age: dt.timedelta = MAX_PROOF_AGE
+    ) -> bool:
         """Read records of other processes; return whether none is missing.
 
         Parameters
         ----------
-        age
+        max_proof_age
             The oldest proof that needs no call of the store.
         """
         now = self._clock.elapsed()
-        if self._proven_at is not None and now - self._proven_at <= age:
+        if (
+            self._proven_at is not None
+            and now - self._proven_at <= max_proof_age
+        ):
             return True
         try:
             async with asyncio.timeout(_LOCK_TIMEOUT_S):
--- a/bergamotdoor/steps/owner.py
+++ b/bergamotdoor/steps/owner.py
@@ -9,11 +9,11 @@
 
 from bergamotdoor.observe.events import Counted
 from bergamotdoor.steps.dispatcher import Dispatcher
-from bergamotdoor.steps.job_keeper import keep_open_items
+from bergamotdoor.steps.item_saving import save_open_items
 from bergamotdoor.steps.job_run import JobRun, RunState
 from bergamotdoor.steps.result_writer import ResultWriter
 from bergamotdoor.steps.scorer import Scorer
-from bergamotdoor.steps.target import groups_again
+from bergamotdoor.steps.target import find_resubmitted_groups
 from bergamotdoor.stored import Outcome
 from bergamotdoor.tasks import Tasks
 
@@ -63,8 +63,8 @@
         self._context = context
         self._store = store
         self._manifests = manifests
-        self._dispatcher = Dispatcher(context, self.poke)
-        self._scorer = Scorer(context, manifests, self.poke)
+        self._dispatcher = Dispatcher(context, self.wake_up)
+        self._scorer = Scorer(context, manifests, self.wake_up)
         self._runs: dict[JobId, JobRun] = {}
         #: Jobs whose end was reported while this process did not have them.
         self._early_ends: tuple[JobId, ...] = ()
@@ -85,7 +85,7 @@
         await self._tasks.stop()
 
     @property
-    def takes_jobs(self) -> bool:
+    def accepts_jobs(self) -> bool:
         """Whether this process can run a new job.
 
         Failure: a process that has just started can't reach the store, and
@@ -95,16 +95,16 @@
         """
         return not self.stopping and self._manifests.manifest is not None
 
-    def take_no_more(self) -> tuple[JobRun, ...]:
+    def stop_accepting_jobs(self) -> tuple[JobRun, ...]:
         """Accept no more jobs; return those with open items."""
         self.stopping = True
         return tuple(run for run in self._runs.values() if run.active)
 
-    def forget(self, job: JobId) -> None:
+    def drop_job(self, job: JobId) -> None:
         """Drop a job that another process owns from now on."""
         self._runs.pop(job, None)
 
-    def poke(self) -> None:
+    def wake_up(self) -> None:
         """Start waiting items now, since slots or routes may have changed."""
         self._wake.set()
 
@@ -130,7 +130,7 @@
         if known is not None and known.state is RunState.RUNNING:
             # Another process may have taken the job over and handed it back
             # before this process noticed.
-            known.take_record(found)
+            known.update_record(found)
             return known
         now = self._context.clock.elapsed()
         route = self._manifests.batch_route(loaded.spec)
@@ -147,11 +147,13 @@
             run.end()
         else:
             writer = ResultWriter(
-                run, self._context, groups_again(loaded.spec, earlier)
+                run,
+                self._context,
+                find_resubmitted_groups(loaded.spec, earlier),
             )
             self._tasks.start(writer.run())
             self._tasks.start(
-                keep_open_items(run, self._store, self._context.clock)
+                save_open_items(run, self._store, self._context.clock)
             )
         _log.info(
             'gateway: job %s owned, term %d, %d items, %d listed',
@@ -160,7 +162,7 @@
             len(loaded.spec.items),
             len(loaded.ledger),
         )
-        self.poke()
+        self.wake_up()
         return run
 
     def end(self, job: JobId) -> None:
@@ -175,7 +177,7 @@
             )
         elif not run.ended:
             run.end()
-            run.note_end()
+            run.record_job_end()
 
     async def _run_items(self) -> None:
         """Start and move items on each wake-up, and at least on each tick."""
@@ -212,7 +214,7 @@
         knows_routes = self._manifests.manifest is not None
         for run in filter(_is_active, tuple(self._runs.values())):
             route = self._manifests.batch_route(run.spec)
-            time_without_route = run.routeless(route)
+            time_without_route = run.time_without_route(route)
             if route is not None:
                 self._dispatcher.move_items(run, route)
                 _end_if_overdue(run, route.abandon_after, now)
@@ -220,7 +222,7 @@
                 _log.info(
                     'gateway: job %s: its route was removed', run.spec.job
                 )
-                run.give_up()
+                run.mark_open_items_lost()
 
     async def _check_store(self) -> None:
         """Apply ends and takeovers that the store has, at an interval."""
@@ -240,9 +242,9 @@
                 continue
             if found.status.ended:
                 self.end(found.job)
-            if found.record.term > run.found.record.term:
+            if found.record.term > run.stored_job.record.term:
                 run.stop()
-                self.forget(found.job)
+                self.drop_job(found.job)
 
 
 def _is_active(run: JobRun) -> bool:
@@ -265,13 +267,13 @@
     The time counts from when this process became the owner, so it is never
     shorter than the limit.
     """
-    if abandon_after is not None and now - run.began > abandon_after:
+    if abandon_after is not None and now - run.started_at > abandon_after:
         _log.info(
             'gateway: job %s: open items are lost after %s',
             run.spec.job,
             abandon_after,
         )
-        run.give_up()
+        run.mark_open_items_lost()
 
 
 def _retained(
@@ -280,5 +282,5 @@
     """Return the jobs that clients may still read."""
     now = context.clock.elapsed()
     for job, run in runs.items():
-        if not run.ended or now - run.began <= context.settings.retention:
+        if not run.ended or now - run.started_at <= context.settings.retention:
             yield job, run
--- a/bergamotdoor/steps/other_entries.py
+++ b/bergamotdoor/steps/peer_notifier.py
@@ -49,7 +49,7 @@
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
-class OtherEntries:
+class PeerNotifier:
     """Client that sends other entries messages about jobs.
 
     Most messages are sent in the background, after the caller's response.
@@ -86,11 +86,14 @@
         self._tasks = tasks
         self._clock = clock
 
-    def hand_over(self, found: FoundJob, spec: JobSpec) -> None:
-        """Send a new job to its home entry; take it over if that fails."""
-        self._tasks.start(self._send_to_home(found, spec))
+    def send_to_preferred_owner(self, found: FoundJob, spec: JobSpec) -> None:
+        """Send a new job to its preferred owner.
 
-    def see_run(self, found: FoundJob, spec: JobSpec) -> None:
+        If that fails, this process takes the job over.
+        """
+        self._tasks.start(self._send_new_job(found, spec))
+
+    def ensure_running(self, found: FoundJob, spec: JobSpec) -> None:
         """Ensure that a job which was submitted before has a running owner.
 
         Failure: a trainer that received no response submits its job again,
@@ -103,7 +106,7 @@
         if spec.items and not found.status.ended:
             self._tasks.start(self._ensure_running(found, spec))
 
-    def tell_owner(self, found: FoundJob, model: ModelId) -> None:
+    def announce_owner(self, found: FoundJob, model: ModelId) -> None:
         """Send every entry the address of a job's owner.
 
         Readers connect to any entry. Without this message each entry would
@@ -114,17 +117,17 @@
         for entry in self.directory.entries.values():
             self._tasks.start(self._send(entry.address, message))
 
-    def pass_on(self, message: EngineLoaded) -> None:
+    def forward_engine_loaded(self, message: EngineLoaded) -> None:
         """Forward an engine's loaded version to the owner of the model's jobs.
 
         A message that was forwarded before is dropped.
         """
-        owner = self._finder.owner_of(message.model)
+        owner = self._finder.owner_of_model(message.model)
         if owner is not None and not message.passed_on:
             forwarded = msgspec.structs.replace(message, passed_on=True)
             self._tasks.start(self._send(owner, forwarded))
 
-    async def hand_on(self, message: TakeOver) -> None:
+    async def offer_job(self, message: TakeOver) -> None:
         """Offer a job of this process, which stops, to other entries.
 
         The entries are asked one after the other until one accepts. Entries
@@ -147,7 +150,7 @@
             if accepted:
                 return
 
-    def tell_of_end(self, job: JobId) -> None:
+    def notify_of_end(self, job: JobId) -> None:
         """Notify a job's owner that the job was ended."""
         self._tasks.start(self._notify_of_end(job))
 
@@ -156,7 +159,7 @@
     ) -> None:
         await self._peers.ask(address, message)
 
-    async def _send_to_home(self, found: FoundJob, spec: JobSpec) -> None:
+    async def _send_new_job(self, found: FoundJob, spec: JobSpec) -> None:
         message = AdoptJob(found.record, found.revision, spec)
         reply = await self._peers.ask(found.record.address, message)
         if not isinstance(reply, Done):
@@ -173,7 +176,7 @@
 
     async def _notify_of_end(self, job: JobId) -> None:
         for _ in range(_END_NOTICE_ATTEMPTS):
-            record = await self._finder.record(job)
+            record = await self._finder.find_record(job)
             if not isinstance(record, Outcome):
                 reply = await self._peers.ask(record.address, JobEnded(job))
                 if isinstance(reply, Done):
--- a/bergamotdoor/steps/peer_service.py
+++ b/bergamotdoor/steps/peer_service.py
@@ -24,9 +24,9 @@
 )
 from bergamotdoor.peers.news_messages import WatchKind
 from bergamotdoor.peers.relay import relayed
-from bergamotdoor.steps.hand_over import found_in, loaded_in
 from bergamotdoor.steps.item_bodies import body_of
-from bergamotdoor.steps.jobs_desk import page_of
+from bergamotdoor.steps.job_handoff import found_job_in, loaded_job_in
+from bergamotdoor.steps.job_reads import wait_for_page
 from bergamotdoor.stored import Outcome
 
 if TYPE_CHECKING:
@@ -37,8 +37,8 @@
     from bergamotdoor.peers.messages import PeerReply, PeerRequest
     from bergamotdoor.peers.news_source import NewsSource
     from bergamotdoor.steps.job_finder import JobFinder
-    from bergamotdoor.steps.other_entries import OtherEntries
     from bergamotdoor.steps.owner import JobOwner
+    from bergamotdoor.steps.peer_notifier import PeerNotifier
 
 _MILLISECOND: Final = dt.timedelta(milliseconds=1)
 
@@ -52,7 +52,7 @@
         The jobs that this process owns.
     finder
         Cache of job owners.
-    others
+    notifier
         Client that forwards messages to other entries.
     context
         Services of the process, with the fleet and the link's bandwidth.
@@ -66,14 +66,14 @@
         self,
         owner: JobOwner,
         finder: JobFinder,
-        others: OtherEntries,
+        notifier: PeerNotifier,
         context: Context,
         direct: Caller,
         news: NewsSource,
     ) -> None:
         self._news = news
         self._page_bytes = page_limit_bytes(context.settings.link_mbps)
-        self._others = others
+        self._notifier = notifier
         self._owner = owner
         self._finder = finder
         self._fleet = context.fleet
@@ -82,7 +82,7 @@
         self._handlers: dict[type[Any], Callable[[Any], None]] = {}
         self.register(AdoptJob, self._adopt)
         self.register(JobEnded, self._end)
-        self.register(JobOwned, self._remember_owner)
+        self.register(JobOwned, self._cache_owner)
         self.register(EngineLoaded, self._record_load)
         self.register(StrikesLearned, self._add_strikes)
 
@@ -90,7 +90,7 @@
         """Return the reply to a message."""
         if isinstance(message, StoreCall):
             return await relayed(self._direct, message)
-        if isinstance(message, AdoptJob) and not self._owner.takes_jobs:
+        if isinstance(message, AdoptJob) and not self._owner.accepts_jobs:
             return NotOwner()
         if isinstance(message, WatchKind):
             return await self._news.answer(message)
@@ -103,17 +103,19 @@
             handler(message)
         return Done()
 
-    def register(self, kind: type[Any], take: Callable[[Any], None]) -> None:
+    def register(
+        self, message_type: type[Any], handler: Callable[[Any], None]
+    ) -> None:
         """Register the handler of messages whose reply is only ``Done``.
 
         Parameters
         ----------
-        kind
+        message_type
             The class of the messages.
-        take
+        handler
             Function that is called with each message.
         """
-        self._handlers[kind] = take
+        self._handlers[message_type] = handler
 
     def _add_strikes(self, message: StrikesLearned) -> None:
         self._strikes.take(message)
@@ -121,15 +123,15 @@
     def _end(self, message: JobEnded) -> None:
         self._owner.end(message.job)
 
-    def _remember_owner(self, message: JobOwned) -> None:
-        self._finder.remember(message.job, message.record, message.model)
+    def _cache_owner(self, message: JobOwned) -> None:
+        self._finder.cache_record(message.job, message.record, message.model)
 
     def _record_load(self, message: EngineLoaded) -> None:
         self._fleet.record_version_at(
             message.engine, message.model, message.version
         )
-        self._owner.poke()
-        self._others.pass_on(message)
+        self._owner.wake_up()
+        self._notifier.forward_engine_loaded(message)
 
     async def _read(self, message: ReadResults | ReadBody) -> PeerReply:
         """Return a page or a body of a job, if this process owns the job."""
@@ -147,12 +149,12 @@
             body = body_of(run, message.item)
             return ItemBody(None if isinstance(body, Outcome) else body)
         wait = message.wait_ms * _MILLISECOND
-        page = await page_of(run, message.after, wait, self._page_bytes)
+        page = await wait_for_page(run, message.after, wait, self._page_bytes)
         return NotKnown() if isinstance(page, Outcome) else page
 
     async def _take_over(self, message: TakeOver) -> PeerReply:
-        found = await self._finder.take_handed(
-            found_in(message), loaded_in(message)
+        found = await self._finder.accept_handoff(
+            found_job_in(message), loaded_job_in(message)
         )
         return NotOwner() if isinstance(found, Outcome) else Done()
 
@@ -161,7 +163,7 @@
         if not self._finder.is_newest(job, message.record):
             # The message arrived late. Another entry has taken the job over.
             return
-        self._finder.remember(job, message.record)
+        self._finder.cache_record(job, message.record)
         if self._owner.get(job) is None:
             loaded = LoadedJob(message.spec, Ledger())
-            self._owner.adopt(found_in(message), loaded)
+            self._owner.adopt(found_job_in(message), loaded)
--- a/bergamotdoor/steps/listed_results.py
+++ b/bergamotdoor/steps/result_cache.py
@@ -29,17 +29,17 @@
     size_bytes: int = 0
 
 
-class Shown(msgspec.Struct, frozen=True):
+class CachedPage(msgspec.Struct, frozen=True):
     """Consecutive results from a position on, as far as they are cached."""
 
     #: How many items the job has; 0 if that is unknown.
     total: int = 0
     results: tuple[ItemResult, ...] = ()
     #: Whether no more results fit into the page, or the job has no more.
-    enough: bool = False
+    is_complete: bool = False
 
 
-class ListedResults:
+class ResultCache:
     """Cache of results by position; a listed result never changes.
 
     Load pattern: clients read jobs again and again, from any position, at any
@@ -51,18 +51,18 @@
 
     Parameters
     ----------
-    most_bytes
+    max_bytes
         Upper bound of the cached text, in bytes. The most recent job may
         exceed it alone.
     """
 
-    def __init__(self, most_bytes: int = _MAX_BYTES) -> None:
-        self._max_bytes = most_bytes
+    def __init__(self, max_bytes: int = _MAX_BYTES) -> None:
+        self._max_bytes = max_bytes
         #: In the order of their latest pages, the most recent one last.
         self._jobs: dict[JobId, _CachedJob] = {}
         self._size_bytes = 0
 
-    def take(self, job: JobId, after: int, page: ResultPage) -> None:
+    def add_page(self, job: JobId, after: int, page: ResultPage) -> None:
         """Add a page of results that a job's owner has sent."""
         known = self._jobs.pop(job, None) or _CachedJob(page.total)
         self._jobs[job] = known
@@ -73,7 +73,9 @@
         while self._size_bytes > self._max_bytes and len(self._jobs) > 1:
             self._evict(next(iter(self._jobs)))
 
-    def shown(self, job: JobId, after: int, limit_bytes: int) -> Shown:
+    def cached_page(
+        self, job: JobId, after: int, limit_bytes: int
+    ) -> CachedPage:
         """Return consecutive results from a position on.
 
         Parameters
@@ -87,11 +89,11 @@
         """
         known = self._jobs.get(job)
         if known is None:
-            return Shown()
+            return CachedPage()
         consecutive = tuple(_consecutive_results(known, after))
         fitting = tuple(fitting_results(consecutive, limit_bytes))
         reaches_end = after + len(fitting) >= known.total
-        return Shown(
+        return CachedPage(
             known.total, fitting, reaches_end or len(fitting) < len(consecutive)
         )
 
--- a/bergamotdoor/steps/result_writer.py
+++ b/bergamotdoor/steps/result_writer.py
@@ -21,10 +21,10 @@
 #: Results that finish within this time go into one record. Each record costs
 #: a call of the store and reaches readers some milliseconds later.
 _BATCH_WINDOW_MS: Final = 60
-GATHER: Final = dt.timedelta(milliseconds=_BATCH_WINDOW_MS)
+BATCH_WINDOW: Final = dt.timedelta(milliseconds=_BATCH_WINDOW_MS)
 #: The most text in a record: with all escapes it fits into an object of the
 #: store, which may have a megabyte.
-RECORD_BYTES: Final = 400_000
+MAX_RECORD_BYTES: Final = 400_000
 _NONCE_BITS: Final = 64
 _NO_GROUPS: Final[frozenset[GroupId]] = frozenset()
 
@@ -41,7 +41,7 @@
     context
         Services of the process: its clock, and random numbers that identify
         the records of this process.
-    again
+    resubmitted_groups
         Groups of the job that an earlier job had as well.
     """
 
@@ -49,23 +49,23 @@
         self,
         run: JobRun,
         context: Context,
-        again: frozenset[GroupId] = _NO_GROUPS,
+        resubmitted_groups: frozenset[GroupId] = _NO_GROUPS,
     ) -> None:
         self._run = run
-        self._repeated_groups = again
+        self._resubmitted_groups = resubmitted_groups
         self._context = context
 
     async def run(self) -> None:
         """Store the results of complete groups until every item is listed."""
         run = self._run
         while not run.complete:
-            await run.finished.wait()
+            await run.results_ready.wait()
             started_at = self._context.clock.elapsed()
             if run.state is not RunState.RUNNING:
                 return
             if run.items.item_queue.open_items:
                 await self._wait_for_batch()
-            run.finished.clear()
+            run.results_ready.clear()
             await self._store_finished()
             self._log_listed(started_at)
 
@@ -78,16 +78,16 @@
         clock = self._context.clock
         started_at = clock.elapsed()
         held = dt.timedelta()
-        await clock.sleep(GATHER)
+        await clock.sleep(BATCH_WINDOW)
         while should_hold(self._target, held, run.due_at - clock.elapsed()):
-            await clock.sleep(GATHER)
+            await clock.sleep(BATCH_WINDOW)
             if run.state is not RunState.RUNNING:
                 return
             held = clock.elapsed() - started_at
 
     @property
     def _target(self) -> Target:
-        return target_of(self._run, self._repeated_groups)
+        return target_of(self._run, self._resubmitted_groups)
 
     def _log_listed(self, started_at: dt.timedelta) -> None:
         run = self._run
@@ -109,9 +109,9 @@
         """
         run = self._run
         while run.items.item_queue.has_results_to_store:
-            batch = run.items.item_queue.pop_results_to_store(RECORD_BYTES)
+            batch = run.items.item_queue.pop_results_to_store(MAX_RECORD_BYTES)
             await self._list_batch(batch)
-        run.announce()
+        run.notify_readers()
 
     async def _list_batch(self, batch: tuple[ItemResult, ...]) -> None:
         """Append a batch to the ledger, after the records of other owners."""
@@ -119,10 +119,10 @@
         while True:
             nonce = self._context.rng.getrandbits(_NONCE_BITS)
             writer = str(nonce)
-            listed = await run.sync.add(writer, batch)
+            listed = await run.ledger_sync.append_batch(writer, batch)
             if listed is None:
                 return
-            run.take_results(listed.results)
+            run.apply_listed_results(listed.results)
             if listed.writer == writer:
                 return
             _log.info(
--- a/bergamotdoor/steps/scorer.py
+++ b/bergamotdoor/steps/scorer.py
@@ -43,7 +43,7 @@
         Services of the process.
     manifests
         The current manifest, with the routes of the calls.
-    poke
+    on_call_end
         Callback without arguments. It is called after a call has ended, when
         there is room for the next one.
     """
@@ -52,11 +52,11 @@
         self,
         context: Context,
         manifests: ManifestView,
-        poke: Callable[[], None],
+        on_call_end: Callable[[], None],
     ) -> None:
         self._context = context
         self._manifests = manifests
-        self._on_call_end = poke
+        self._on_call_end = on_call_end
         self._forwarder = Forwarder(context)
         #: Calls in flight of this process, by service.
         self._in_flight: Counter[ServiceId] = Counter()
@@ -91,7 +91,7 @@
         text.is_running = True
         self._in_flight[service] += 1
         task = asyncio.create_task(self._send_call(run, text, route))
-        run.take_scoring(task)
+        run.track_score_task(task)
         task.add_done_callback(lambda _: self._end_call(service))
 
     def _find_route(self, text: UnscoredText) -> Route | None:
--- a/bergamotdoor/steps/target.py
+++ b/bergamotdoor/steps/target.py
@@ -14,7 +14,7 @@
     from bergamotdoor.types import GroupId
 
 
-def groups_again(
+def find_resubmitted_groups(
     spec: JobSpec, earlier: Iterable[JobSpec]
 ) -> frozenset[GroupId]:
     """Return the groups of a job that an earlier job of its model had too.
@@ -35,21 +35,24 @@
     return frozenset(item.group for item in spec.items) & before
 
 
-def target_of(run: JobRun, again: frozenset[GroupId]) -> Target:
+def target_of(run: JobRun, resubmitted_groups: frozenset[GroupId]) -> Target:
     """Return the target of a job, and how many groups are missing from it.
 
     Parameters
     ----------
     run
         The job.
-    again
-        Groups of the job that an earlier job had too, see ``groups_again``.
+    resubmitted_groups
+        Groups of the job that an earlier job had too, see
+        ``find_resubmitted_groups``.
         The trainer waits for each of these groups. For the rest of the target
         it waits for any of the other groups.
     """
     open_groups = run.items.item_queue.open_groups
-    others = {item.group for item in run.spec.items} - again
+    others = {item.group for item in run.spec.items} - resubmitted_groups
     wanted = run.spec.target_groups
-    missing_others = wanted - len(again) - len(others - open_groups)
-    missing = len(again & open_groups) + max(missing_others, 0)
+    missing_others = (
+        wanted - len(resubmitted_groups) - len(others - open_groups)
+    )
+    missing = len(resubmitted_groups & open_groups) + max(missing_others, 0)
     return Target(wanted, missing)
--- a/features/gateway_again.feature
+++ b/features/gateway_again.feature
@@ -37,7 +37,7 @@
     Given a site whose second owner gets a list of results 2.5 s late
     Then each entry returns the second result, or 503
 
-  Scenario: a job that another entry hands over late is looked up first
+  Scenario: a new job that another entry sends late is looked up first
     An entry was paused and receives a new job late. The sender has timed out
     meanwhile, and runs the job itself. Guards against an entry that assumes
     that the job has no results, and denies a position that was read before.
--- a/features/gateway_jobs.feature
+++ b/features/gateway_jobs.feature
@@ -51,7 +51,7 @@
     And the long item was not generated from its beginning again
 
   Scenario: a planned stop of the owner does not delay a step
-    The owner stops as planned in the middle of a step. It hands over the step
+    The owner stops as planned in the middle of a step. It hands off the step
     with all that its items have, which includes finished texts of groups that
     are not whole yet.
 
@@ -60,7 +60,7 @@
     And the step took at most 4.2 s
     And nothing was generated twice
 
-  Scenario: a step is handed over past an entry that stops as well
+  Scenario: a step is handed off past an entry that stops as well
     The entry to which the step is offered first stops as well. It does not
     accept the step, so the third one runs it. A read at a stopping entry does
     not make it an owner again.
@@ -69,7 +69,7 @@
     Then the third entry lists all 4 results, each once and whole
     And the step took at most 4.2 s
 
-  Scenario: a body is not denied while the owner hands over the step
+  Scenario: a body is not denied while the owner hands off the step
     The owner stops as planned while the store is slow, so it takes a while to
     save what its items have. A trainer requests the body of a waiting item
     during that time. If it got 404, it would treat the item as lost.
--- a/features/steps/gateway_again_steps.py
+++ b/features/steps/gateway_again_steps.py
@@ -152,7 +152,9 @@
         first = owner_of(site)
         run = site.entries[first]._parts.owner.get(JobId(JOB))
         assert run is not None
-        message = AdoptJob(run.found.record, run.found.revision, run.spec)
+        message = AdoptJob(
+            run.stored_job.record, run.stored_job.revision, run.spec
+        )
         await read_first_group(site, first)
         second = other_entry(site, first)
         await take_over_at(site, second)
@@ -176,11 +178,11 @@
         parts = site.entries[first]._parts
         run = parts.owner.get(JobId(JOB))
         assert run is not None
-        old = run.found
+        old = run.stored_job
         later = msgspec.structs.replace(old.record, term=3)
-        run.found = msgspec.structs.replace(old, record=later)
+        run.stored_job = msgspec.structs.replace(old, record=later)
         await parts.finder.adopt(old)
-        context.term = run.found.record.term
+        context.term = run.stored_job.record.term
         context.results = await site.all_results(first, JOB)
 
     play(scene)
--- a/features/steps/jobs_listing_steps.py
+++ b/features/steps/jobs_listing_steps.py
@@ -18,7 +18,7 @@
 )
 from bergamotdoor.jobs.listing import Target, should_hold
 from bergamotdoor.jobs.messages import ItemSpec
-from bergamotdoor.steps.target import groups_again, target_of
+from bergamotdoor.steps.target import find_resubmitted_groups, target_of
 from bergamotdoor.types import (
     GroupId,
     ItemId,
@@ -79,7 +79,7 @@
     context.spec = job_of('new', ['g0', 'g1', 'g2', 'g3'], target=2)
     earlier = job_of('old', ['g0', 'g9'], target=1)
     others = job_of('other', ['g1'], target=1, model='another')
-    context.resubmitted = groups_again(
+    context.resubmitted = find_resubmitted_groups(
         context.spec, [context.spec, earlier, others]
     )
     assert context.resubmitted == {'g0'}, context.resubmitted
--- a/features/steps/jobs_positions_steps.py
+++ b/features/steps/jobs_positions_steps.py
@@ -22,8 +22,8 @@
     ResultRecord,
 )
 from bergamotdoor.objects.job_codec import FoundJob, LoadedJob
+from bergamotdoor.steps.job_reads import wait_for_page
 from bergamotdoor.steps.job_run import JobRun
-from bergamotdoor.steps.jobs_desk import page_of
 from bergamotdoor.steps.result_writer import ResultWriter
 from bergamotdoor.stored import Outcome
 from bergamotdoor.types import (
@@ -256,7 +256,9 @@
         owner = Owner(context.record_store, 1)
         writer = asyncio.create_task(owner.writer.run())
         reader = asyncio.create_task(
-            page_of(owner.run, 0, dt.timedelta(seconds=1), LARGEST_PAGE_BYTES)
+            wait_for_page(
+                owner.run, 0, dt.timedelta(seconds=1), LARGEST_PAGE_BYTES
+            )
         )
         await asyncio.sleep(0.75)
         for member in range(MEMBERS):
--- a/features/steps/planned_stops_steps.py
+++ b/features/steps/planned_stops_steps.py
@@ -146,7 +146,7 @@
 
 
 @given('a site whose owner stops while the store takes {answer:g} s an answer')
-def slow_hand_over(context: Any, answer: float) -> None:
+def slow_handoff(context: Any, answer: float) -> None:
     async def scene(site: Site) -> None:
         await site.start(entries=3)
         await submit_job(site, GROUPS)
--- a/features/steps/steps_listed_steps.py
+++ b/features/steps/steps_result_cache_steps.py
@@ -10,7 +10,7 @@
 
 from bergamotdoor.jobs.messages import ItemResult, ItemState
 from bergamotdoor.peers.messages import ResultPage
-from bergamotdoor.steps.listed_results import ListedResults
+from bergamotdoor.steps.result_cache import ResultCache
 from bergamotdoor.types import ItemId, JobId
 from features.job_scenes import JOB, other_entry, owner_of, submit_job
 from lab.site import Site, play
@@ -41,30 +41,32 @@
     def check(
         added: list[tuple[int, int]], after: int, most_results: int
     ) -> None:
-        cache = ListedResults()
+        cache = ResultCache()
         known: set[int] = set()
         for begin, end_of_page in added:
-            cache.take(
+            cache.add_page(
                 JobId(JOB), begin, ResultPage(TOTAL, RESULTS[begin:end_of_page])
             )
             known.update(range(begin, end_of_page))
-        shown = cache.shown(JobId(JOB), after, most_results * RESULT_BYTES)
-        end = after + len(shown.results)
-        assert shown.results == RESULTS[after:end]
+        cached = cache.cached_page(
+            JobId(JOB), after, most_results * RESULT_BYTES
+        )
+        end = after + len(cached.results)
+        assert cached.results == RESULTS[after:end]
         assert set(range(after, end)) <= known
-        assert len(shown.results) <= most_results
+        assert len(cached.results) <= most_results
         if added:
-            full = len(shown.results) == most_results and end in known
-            assert shown.enough == (end >= TOTAL or full)
+            full = len(cached.results) == most_results and end in known
+            assert cached.is_complete == (end >= TOTAL or full)
         else:
-            assert not shown.enough
+            assert not cached.is_complete
 
     check()
 
 
 @given('a result cache of 1000 bytes')
 def small_cache(context: Any) -> None:
-    context.cache = ListedResults(most_bytes=1000)
+    context.cache = ResultCache(max_bytes=1000)
 
 
 @when('pages of 5 jobs of 300 bytes are added')
@@ -72,7 +74,7 @@
     result = ItemResult(ItemId('i'), ItemState.COMPLETED, 'x' * 300)
     for number in range(5):
         page = ResultPage(1, (result,))
-        context.cache.take(JobId(f'j{number}'), 0, page)
+        context.cache.add_page(JobId(f'j{number}'), 0, page)
 
 
 @then('the last 3 of them are cached')
@@ -80,7 +82,7 @@
     known = [
         number
         for number in range(5)
-        if context.cache.shown(JobId(f'j{number}'), 0, 1000).results
+        if context.cache.cached_page(JobId(f'j{number}'), 0, 1000).results
     ]
     assert known == [2, 3, 4], known
 
--- a/lab/model/entry.py
+++ b/lab/model/entry.py
@@ -127,7 +127,7 @@
 
     async def _hand_off_and_stop(self) -> None:
         began_s = asyncio.get_running_loop().time()
-        await self.parts.hand_over.run()
+        await self.parts.handoff.hand_off_jobs()
         spent_s = asyncio.get_running_loop().time() - began_s
         await asyncio.sleep(max(_STOP_DURATION_S - spent_s, 0))
         await self.parts.owner.stop()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -152,8 +152,9 @@
     ),
     Mutation(
         'only a ledger proven complete says that there are no more results',
-        'steps/jobs_desk.py',
-        '    waiting = run.wait_beyond(after, final_wait.total_seconds())\n',
+        'steps/job_reads.py',
+        '    waiting = run.wait_for_result('
+        'after, final_wait.total_seconds())\n',
         '    return True\n',
         _MODEL,
     ),
@@ -173,7 +174,7 @@
     ),
     Mutation(
         'a ledger is proven complete if no record has the next number',
-        'steps/jobs_desk.py',
+        'steps/job_reads.py',
         'is_proven = await _check_store(run, after, final_wait)',
         'is_proven = True',
         'gateway_jobs',
@@ -282,7 +283,7 @@
     Mutation(
         "the owner of a model's jobs is notified of an engine's weights",
         'steps/peer_service.py',
-        'self._others.pass_on(message)',
+        'self._notifier.forward_engine_loaded(message)',
         'return',
         'peers_directory',
     ),
@@ -343,14 +344,14 @@
     ),
     Mutation(
         'a job that is submitted again is not restarted',
-        'steps/jobs_intake.py',
+        'steps/job_submission.py',
         'if not submitted.created:',
         'if False:',
         'planned_stops',
     ),
     Mutation(
         'a handoff of a job includes what its items have so far',
-        'steps/hand_over.py',
+        'steps/job_handoff.py',
         'partial=run.items.saved_transcripts(1),',
         'partial={},',
         'planned_stops',
@@ -379,16 +380,16 @@
     Mutation(
         'readers are notified once all records of a batch are stored',
         'steps/result_writer.py',
-        '            run.take_results(listed.results)',
-        '            run.take_results(listed.results)\n'
-        '            run.announce()',
+        '            run.apply_listed_results(listed.results)',
+        '            run.apply_listed_results(listed.results)\n'
+        '            run.notify_readers()',
         'jobs_listing',
     ),
     Mutation(
         "a caller's page holds up to the largest page size",
-        'steps/jobs_desk.py',
-        'return await page_of(run, after, wait, LARGEST_PAGE_BYTES)',
-        'return await page_of(run, after, wait, LARGEST_PAGE_BYTES // 4)',
+        'steps/job_reads.py',
+        'return await wait_for_page(run, after, wait, LARGEST_PAGE_BYTES)',
+        'return await wait_for_page(run, after, wait, LARGEST_PAGE_BYTES // 4)',
         'jobs_pages',
     ),
     Mutation(
@@ -453,7 +454,7 @@
     Mutation(
         "a job's record is replaced only by one of a later term",
         'steps/job_run.py',
-        'if found.record.term > self.found.record.term:',
+        'if found.record.term > self.stored_job.record.term:',
         'if found.record.term:',
         'gateway_again',
     ),
