--- a/bergamotdoor/entry/context.py
+++ b/bergamotdoor/entry/context.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from bergamotdoor.clock import Clock
-from bergamotdoor.entry.startup import Startup
+from bergamotdoor.entry.startup import StartupGate
 from bergamotdoor.fleet.fleet import Fleet
 from bergamotdoor.fleet.loads import Loads
 from bergamotdoor.fleet.quarantine import Quarantine
@@ -42,10 +42,10 @@
     #: Sends the strikes that this process records to the other entries.
     strikes: StrikeSharing
     metrics: Metrics
-    startup: Startup
+    startup: StartupGate
 
     @classmethod
-    def fresh(
+    def create(
         cls,
         settings: NodeSettings,
         access: StoreAccess,
@@ -87,7 +87,7 @@
                 clock,
             ),
             Metrics(),
-            Startup(),
+            StartupGate(),
         )
 
     @property
--- a/bergamotdoor/entry/startup.py
+++ b/bergamotdoor/entry/startup.py
@@ -12,14 +12,14 @@
 _LISTINGS_TIMEOUT_S: Final = 0.3
 
 
-class Knowledge(enum.Enum):
+class StartupListing(enum.Enum):
     """Listing that must be known before callers can be served."""
 
     MANIFEST = 'manifest'
     UPSTREAMS = 'upstreams'
 
 
-class Startup:
+class StartupGate:
     """Gate that holds the first requests until the first listings are known.
 
     Failure: a process reads requests a few milliseconds before it has its
@@ -30,18 +30,18 @@
     """
 
     def __init__(self) -> None:
-        self._missing = set(Knowledge)
+        self._missing = set(StartupListing)
         self._complete = asyncio.Event()
 
-    def learned(self, what: Knowledge) -> None:
+    def mark_known(self, listing: StartupListing) -> None:
         """Record that a listing is known.
 
         Parameters
         ----------
-        what
+        listing
             The listing; it may have been known before.
         """
-        self._missing.discard(what)
+        self._missing.discard(listing)
         if not self._missing:
             self._complete.set()
 
--- a/bergamotdoor/entry/views.py
+++ b/bergamotdoor/entry/views.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Final, NamedTuple
 
 from bergamotdoor.calls.manifest import RouteKind
-from bergamotdoor.entry.startup import Knowledge, Startup
+from bergamotdoor.entry.startup import StartupGate, StartupListing
 from bergamotdoor.objects.reader import ObjectReader
 from bergamotdoor.platform.engines import parse_upstream
 from bergamotdoor.platform.headers import MANIFEST_NAME
@@ -44,9 +44,9 @@
     """
 
     def __init__(
-        self, on_change: Callable[[], None], startup: Startup | None = None
+        self, on_change: Callable[[], None], startup: StartupGate | None = None
     ) -> None:
-        self._startup = startup or Startup()
+        self._startup = startup or StartupGate()
         self.manifest: Manifest | None = None
         #: When the manifest was last known to be current, as the time since
         #: the start of the machine; ``None`` if it never was.
@@ -91,7 +91,7 @@
     def interrupted(self) -> None:
         """Keep the manifest in force while the store is unreachable."""
 
-    def prove(self, proven_at: dt.timedelta) -> None:
+    def record_proof(self, proven_at: dt.timedelta) -> None:
         """Record that this view was current at a moment.
 
         Parameters
@@ -118,7 +118,7 @@
         if current is not None and manifest.generation <= current.generation:
             return
         self.manifest = manifest
-        self._startup.learned(Knowledge.MANIFEST)
+        self._startup.mark_known(StartupListing.MANIFEST)
         _log.info('gateway: manifest %d in force', manifest.generation)
         self._on_change()
 
@@ -143,9 +143,9 @@
         fleet: Fleet,
         clock: Clock,
         on_change: Callable[[], None],
-        startup: Startup | None = None,
+        startup: StartupGate | None = None,
     ) -> None:
-        self._startup = startup or Startup()
+        self._startup = startup or StartupGate()
         self._fleet = fleet
         self._clock = clock
         self._on_change = on_change
@@ -159,7 +159,7 @@
         present = [RegistrationId(listed.name) for listed in listing.objects]
         for missing in self._fleet.missing_from(present):
             self._remove_registration(missing)
-        self._startup.learned(Knowledge.UPSTREAMS)
+        self._startup.mark_known(StartupListing.UPSTREAMS)
         self._on_change()
 
     def apply(self, changes: tuple[Change, ...]) -> None:
--- a/bergamotdoor/gateway/admission.py
+++ b/bergamotdoor/gateway/admission.py
@@ -8,8 +8,12 @@
 
 from bergamotdoor.calls.accounts import NO_ACCOUNT, Denial, ManifestAgeLimit
 from bergamotdoor.calls.manifest import RouteKind
-from bergamotdoor.gateway.credentials import credentials_of
-from bergamotdoor.gateway.refusals import job_retry_s, plain, refusal
+from bergamotdoor.gateway.credentials import read_credentials
+from bergamotdoor.gateway.responses import (
+    job_retry_s,
+    refusal_response,
+    text_response,
+)
 from bergamotdoor.observe.events import Counted
 from bergamotdoor.platform import headers as names
 from bergamotdoor.verdict import Verdict
@@ -46,7 +50,7 @@
         self._manifests = manifests
         self._manifest_age_limit = ManifestAgeLimit(context.settings.revocation)
 
-    def reader(
+    def admit_job_access(
         self, request: HttpRequest, manifest: Manifest
     ) -> AccountId | HttpResponse:
         """Return the account that sends a request about a batch job.
@@ -72,7 +76,7 @@
             return self._deny(request, account)
         return account
 
-    def runner(
+    def admit_run(
         self, request: HttpRequest, manifest: Manifest, route: Route
     ) -> AccountId | HttpResponse:
         """Return the account for which a call or a batch job may run.
@@ -109,18 +113,20 @@
         _log.info('gateway: request %s: %s', request_id, _UNPROVEN_DETAIL)
         is_job = route.kind is RouteKind.BATCH
         retry_s = job_retry_s(request_id) if is_job else _UNPROVEN_RETRY_S
-        return refusal(Verdict.NOT_RUN, _UNPROVEN_DETAIL, request_id, retry_s)
+        return refusal_response(
+            Verdict.NOT_RUN, _UNPROVEN_DETAIL, request_id, retry_s
+        )
 
     def _deny(self, request: HttpRequest, denial: Denial) -> HttpResponse:
         request_id = request.headers.first(names.REQUEST_ID)
         _log.info('gateway: request %s denied: %s', request_id, denial.value)
         self._context.metrics.count(Counted.REQUEST_DENIED)
-        return plain(HTTPStatus.UNAUTHORIZED, denial.value, request_id)
+        return text_response(HTTPStatus.UNAUTHORIZED, denial.value, request_id)
 
     def _identify(
         self, request: HttpRequest, manifest: Manifest, public: bool
     ) -> AccountId | Denial:
-        credentials = credentials_of(request.headers)
+        credentials = read_credentials(request.headers)
         return manifest.accounts.identify(credentials, public)
 
     def _is_proven(self) -> bool:
--- a/bergamotdoor/gateway/batch_front.py
+++ b/bergamotdoor/gateway/batch_handler.py
@@ -8,8 +8,12 @@
 from urllib.parse import parse_qs, unquote
 
 from bergamotdoor import utils
-from bergamotdoor.gateway.credentials import job_of_account
-from bergamotdoor.gateway.refusals import job_retry_s, plain, refusal
+from bergamotdoor.gateway.credentials import assign_job_account
+from bergamotdoor.gateway.responses import (
+    job_retry_s,
+    refusal_response,
+    text_response,
+)
 from bergamotdoor.http.messages import Headers, HttpResponse
 from bergamotdoor.platform import headers as names
 from bergamotdoor.platform.batch_wire import parse_job, results_body
@@ -36,7 +40,7 @@
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
-class BatchFront:
+class BatchHandler:
     """Handler of the requests of trainers.
 
     Parameters
@@ -83,7 +87,7 @@
         )
         if prefix is None:
             return None
-        account = self._admission.reader(request, manifest)
+        account = self._admission.admit_job_access(request, manifest)
         if isinstance(account, HttpResponse):
             return account
         job = JobId(unquote(path.removeprefix(prefix)))
@@ -115,9 +119,9 @@
         try:
             spec = parse_job(job, host, path, body)
         except ValueError as error:
-            return plain(HTTPStatus.BAD_REQUEST, str(error), job)
+            return text_response(HTTPStatus.BAD_REQUEST, str(error), job)
         outcome = await self._submission_service.submit(
-            job_of_account(spec, account)
+            assign_job_account(spec, account)
         )
         _log.info(
             'gateway: job %s submitted, %d items, version %d and newer: %s',
@@ -127,11 +131,13 @@
             'kept' if outcome is None else outcome.value,
         )
         if outcome is None:
-            return plain(HTTPStatus.ACCEPTED, 'kept', job)
+            return text_response(HTTPStatus.ACCEPTED, 'kept', job)
         if outcome is Outcome.FOREIGN:
-            return plain(HTTPStatus.CONFLICT, 'a job of another account', job)
+            return text_response(
+                HTTPStatus.CONFLICT, 'a job of another account', job
+            )
         if outcome is Outcome.UNCLEAR:
-            return refusal(Verdict.MAY_HAVE_RUN, 'perhaps kept', job)
+            return refusal_response(Verdict.MAY_HAVE_RUN, 'perhaps kept', job)
         return _store_unavailable(job, job_retry_s(job))
 
     async def _handle_job_request(
@@ -147,9 +153,9 @@
     async def _read_results(
         self, job: JobId, query: str, headers: Headers
     ) -> HttpResponse:
-        after = number_of(parse_qs(query).get('after', ['0'])[0])
+        after = parse_number(parse_qs(query).get('after', ['0'])[0])
         wait_ms = min(
-            number_of(headers.first(names.WAIT_MS)), _MAX_READ_WAIT_MS
+            parse_number(headers.first(names.WAIT_MS)), _MAX_READ_WAIT_MS
         )
         page = await self._read_service.read_results(
             job, after, utils.from_ms(wait_ms)
@@ -177,14 +183,14 @@
             'kept' if outcome is None else outcome.value,
         )
         if outcome is None:
-            return plain(HTTPStatus.OK, 'ended', job)
+            return text_response(HTTPStatus.OK, 'ended', job)
         return _lookup_failure(job, outcome)
 
 
 def _lookup_failure(job: JobId, outcome: Outcome) -> HttpResponse:
     if outcome is Outcome.ABSENT:
         _log.info('gateway: job %s: there is no such job or item', job)
-        return plain(HTTPStatus.NOT_FOUND, 'not found')
+        return text_response(HTTPStatus.NOT_FOUND, 'not found')
     _log.info('gateway: job %s: not known now: %s', job, outcome.value)
     return _store_unavailable(job)
 
@@ -192,9 +198,9 @@
 def _store_unavailable(
     job: JobId, retry_s: float = _STORE_RETRY_S
 ) -> HttpResponse:
-    return refusal(Verdict.NOT_RUN, 'the store is away', job, retry_s)
+    return refusal_response(Verdict.NOT_RUN, 'the store is away', job, retry_s)
 
 
-def number_of(text: str) -> int:
+def parse_number(text: str) -> int:
     """Return the number in a client's text, 0 if it is not a number."""
     return int(text) if text.isdecimal() else 0
--- a/bergamotdoor/gateway/call_front.py
+++ b/bergamotdoor/gateway/call_handler.py
@@ -7,8 +7,8 @@
 from bergamotdoor import utils
 from bergamotdoor.calls.attempts import CallRules
 from bergamotdoor.forwarding import Call, Forwarder
-from bergamotdoor.gateway.batch_front import number_of
-from bergamotdoor.gateway.refusals import refusal
+from bergamotdoor.gateway.batch_handler import parse_number
+from bergamotdoor.gateway.responses import refusal_response
 from bergamotdoor.platform import headers as names
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     from bergamotdoor.types import AccountId
 
 
-class CallFront:
+class CallHandler:
     """Handler of the plain calls of callers.
 
     Parameters
@@ -58,8 +58,10 @@
             return attempt.answer
         retry_after = attempt.retry_after
         if retry_after is None:
-            return refusal(attempt.verdict, attempt.detail, call.request_id)
-        return refusal(
+            return refusal_response(
+                attempt.verdict, attempt.detail, call.request_id
+            )
+        return refusal_response(
             attempt.verdict,
             attempt.detail,
             call.request_id,
@@ -76,7 +78,7 @@
             self._counter.leave(number, account, call.ran_at)
 
 
-def call_of(
+def build_call(
     request: HttpRequest,
     headers: Headers,
     body: bytes,
@@ -98,7 +100,7 @@
     began
         When the request was received, in the clock's monotonic time.
     """
-    timeout_ms = number_of(request.headers.first(names.DEADLINE_MS))
+    timeout_ms = parse_number(request.headers.first(names.DEADLINE_MS))
     timeout = (
         min(utils.from_ms(timeout_ms), route.timeout)
         if timeout_ms
--- a/bergamotdoor/gateway/credentials.py
+++ b/bergamotdoor/gateway/credentials.py
@@ -20,7 +20,7 @@
 _SCHEME: Final = 'bearer'
 
 
-def credentials_of(headers: Headers) -> Credentials:
+def read_credentials(headers: Headers) -> Credentials:
     """Return the credentials in the header fields of a request."""
     texts = [field.value for field in headers if field.name == _AUTHORIZATION]
     schemes = [text.strip().partition(' ') for text in texts]
@@ -32,7 +32,9 @@
     return Credentials(keys, unreadable=len(keys) < len(texts))
 
 
-def named_account(headers: Headers, account: AccountId, keyed: bool) -> Headers:
+def build_upstream_headers(
+    headers: Headers, account: AccountId, accounts_in_force: bool
+) -> Headers:
     """Return the header fields that are forwarded to an upstream.
 
     They name the client account that sends the request. An account name that
@@ -44,15 +46,15 @@
         The header fields as the client sent them.
     account
         The client account that sends the request; empty if there is none.
-    keyed
+    accounts_in_force
         Whether client accounts are in force. If they are not, credentials
         are meant for the upstream and are forwarded.
     """
-    passed = headers.without(_claim_fields(keyed))
+    passed = headers.without(_claim_fields(accounts_in_force))
     return passed.plus((ACCOUNT, account)) if account else passed
 
 
-def job_of_account(spec: JobSpec, account: AccountId) -> JobSpec:
+def assign_job_account(spec: JobSpec, account: AccountId) -> JobSpec:
     """Return a job with its account set and its items' claims dropped.
 
     Parameters
@@ -63,7 +65,7 @@
     account
         The client account that owns the job; empty if there is none.
     """
-    dropped = _claim_fields(keyed=bool(account))
+    dropped = _claim_fields(accounts_in_force=bool(account))
     items = tuple(_drop_fields(item, dropped) for item in spec.items)
     return msgspec.structs.replace(spec, items=items, account=account)
 
@@ -77,6 +79,6 @@
     return msgspec.structs.replace(item, headers=headers)
 
 
-def _claim_fields(keyed: bool) -> tuple[str, ...]:
+def _claim_fields(accounts_in_force: bool) -> tuple[str, ...]:
     """Return the names of the fields in which a client states its account."""
-    return (ACCOUNT, _AUTHORIZATION) if keyed else (ACCOUNT,)
+    return (ACCOUNT, _AUTHORIZATION) if accounts_in_force else (ACCOUNT,)
--- a/bergamotdoor/gateway/daemon.py
+++ b/bergamotdoor/gateway/daemon.py
@@ -9,12 +9,12 @@
 from bergamotdoor.clock import Clock, LoopClock
 from bergamotdoor.entry.context import Context
 from bergamotdoor.entry.views import ManifestView
-from bergamotdoor.gateway.following import follow_platform
 from bergamotdoor.gateway.inspection import GatewayInspector
 from bergamotdoor.gateway.limits import caller_limits
-from bergamotdoor.gateway.refusals import readiness
+from bergamotdoor.gateway.platform_watchers import start_platform_watchers
+from bergamotdoor.gateway.responses import readiness_response
 from bergamotdoor.gateway.servers import Servers
-from bergamotdoor.gateway.wiring import JobParts
+from bergamotdoor.gateway.wiring import EntryComponents
 from bergamotdoor.http import HttpClient
 from bergamotdoor.peers import StoreAccess, serve_peer
 from bergamotdoor.tasks import Tasks
@@ -67,21 +67,21 @@
         self._tasks = Tasks()
         self._stopping = False
         self._access = StoreAccess(settings, self._client, self._clock)
-        self._context = Context.fresh(
+        self._context = Context.create(
             settings, self._access, self._client, self._clock
         )
         self._manifests = ManifestView(
             self._on_manifest_change, self._context.startup
         )
-        self._parts = JobParts(
+        self._components = EntryComponents(
             self._context, self._access, self._manifests, self._tasks
         )
         self._inspector = GatewayInspector(
             self._context,
             self._manifests,
-            self._parts.owner,
+            self._components.owner,
             self._access.store.counts,
-            self._parts.usage,
+            self._components.usage,
         )
         self._servers = Servers(self, self._clock, listening)
 
@@ -92,12 +92,12 @@
         """
         _log.info('gateway: %s starts', self._settings.node)
         await self._servers.start()
-        self._parts.owner.start()
-        follow_platform(
+        self._components.owner.start()
+        start_platform_watchers(
             self._context,
             self._access.news,
             self._manifests,
-            self._parts.owner,
+            self._components.owner,
             self._tasks,
         )
         self._tasks.start(self._resume_jobs())
@@ -116,8 +116,8 @@
         # Handing off the jobs may have taken longer than _ROTATION_EXIT.
         drain = stop_by - self._clock.elapsed()
         await self._servers.callers.stop(max(drain, dt.timedelta()))
-        if self._parts.usage is not None:
-            await self._parts.usage.close()
+        if self._components.usage is not None:
+            await self._components.usage.close()
         await self._shut_down()
 
     def use_settings(self, settings: NodeSettings) -> None:
@@ -134,20 +134,20 @@
 
     async def kill(self) -> None:
         """Stop at once without a drain, as a crash would; for tests only."""
-        await self._parts.owner.stop()
+        await self._components.owner.stop()
         await self._tasks.stop()
         await self._servers.callers.stop(dt.timedelta())
         await self._shut_down()
 
     async def callers(self, request: HttpRequest) -> HttpResponse:
         """Return the response to a caller or a trainer."""
-        return await self._parts.front.handle(request)
+        return await self._components.router.handle(request)
 
     async def readiness(self, request: HttpRequest) -> HttpResponse:
         """Return the response to a readiness probe of the balancer."""
         known = self._manifests.manifest is not None
         upstreams = len(self._context.fleet) > 0
-        return readiness(known and upstreams and not self._stopping)
+        return readiness_response(known and upstreams and not self._stopping)
 
     async def inspection(self, request: HttpRequest) -> HttpResponse:
         """Return the metrics or the state of this process."""
@@ -155,7 +155,7 @@
 
     async def other_entries(self, request: HttpRequest) -> HttpResponse:
         """Return the response to another process of the system."""
-        return await serve_peer(request, self._parts.peer_service.handle)
+        return await serve_peer(request, self._components.peer_service.handle)
 
     def address_of(self, name: str) -> Address:
         """Return the address on which the server of a handler listens.
@@ -182,17 +182,17 @@
 
     async def _leave_rotation(self) -> None:
         self._stopping = True
-        self._parts.news_source.closed = True
+        self._components.news_source.closed = True
         self._servers.callers.end_connections()
         began = self._clock.elapsed()
-        await self._parts.handoff.hand_off_jobs()
+        await self._components.handoff.hand_off_jobs()
         spent = self._clock.elapsed() - began
         await self._clock.sleep(_ROTATION_EXIT - spent)
 
     async def _shut_down(self) -> None:
-        await self._parts.owner.stop()
+        await self._components.owner.stop()
         await self._tasks.stop()
-        await self._servers.stop_inner()
+        await self._servers.stop_internal()
         await self._client.close()
 
     def _start_peer_tasks(self) -> None:
@@ -201,19 +201,19 @@
         self._tasks.start(directory.register(self._context.own_entry))
         self._tasks.start(directory.run())
         self._context.strikes.start(self._tasks)
-        if self._parts.usage is not None:
-            self._tasks.start(self._parts.usage.run())
+        if self._components.usage is not None:
+            self._tasks.start(self._components.usage.run())
 
     def _on_manifest_change(self) -> None:
         manifest = self._manifests.manifest
         if manifest is not None:
             self._servers.callers.use_limits(caller_limits(manifest.limits))
-            if self._parts.usage is not None:
-                self._parts.usage.wanted = bool(manifest.accounts)
-        self._parts.owner.wake_up()
+            if self._components.usage is not None:
+                self._components.usage.wanted = bool(manifest.accounts)
+        self._components.owner.wake_up()
 
     async def _resume_jobs(self) -> None:
-        while not await self._parts.resume():
+        while not await self._components.resume_jobs():
             await self._clock.sleep(_RESUME_RETRY)
 
     async def _expire_upstreams(self) -> None:
--- a/bergamotdoor/gateway/inspection.py
+++ b/bergamotdoor/gateway/inspection.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from bergamotdoor.fleet.quarantine import CALL_STRIKE_LIMIT
-from bergamotdoor.gateway.refusals import plain
+from bergamotdoor.gateway.responses import text_response
 from bergamotdoor.http.messages import Headers, HttpResponse
 from bergamotdoor.observe.call_counts import StoreCalls
 from bergamotdoor.observe.dump import DumpRegistry
@@ -131,14 +131,14 @@
             text = exposition(
                 self._context.metrics.snapshot(), self._store_calls
             )
-            return plain(HTTPStatus.OK, text)
+            return text_response(HTTPStatus.OK, text)
         if request.target == STATE_PATH:
             return HttpResponse(
                 status=int(HTTPStatus.OK),
                 headers=Headers.of([('content-type', 'application/json')]),
                 body=self._dumps.collect(),
             )
-        return plain(HTTPStatus.NOT_FOUND, 'metrics or state')
+        return text_response(HTTPStatus.NOT_FOUND, 'metrics or state')
 
     def dump(self) -> GatewayState:
         """Return the present state."""
--- a/bergamotdoor/gateway/limits.py
+++ b/bergamotdoor/gateway/limits.py
@@ -12,7 +12,7 @@
 
 #: Limits for other entries and the balancer, which are trusted, send small
 #: requests and keep their connections open.
-INNER_LIMITS: Final = HttpLimits()
+INTERNAL_LIMITS: Final = HttpLimits()
 
 
 def caller_limits(limits: CallerLimits) -> HttpLimits:
--- a/bergamotdoor/gateway/following.py
+++ b/bergamotdoor/gateway/platform_watchers.py
@@ -35,7 +35,7 @@
 _PROOF_INTERVAL_SHARE: Final = 0.2
 
 
-def follow_platform(
+def start_platform_watchers(
     context: Context,
     news: News,
     manifests: ManifestView,
@@ -70,7 +70,7 @@
         Watch(names.MANIFEST_KIND, _MANIFEST_GATHER, wait, proof),
         manifests,
         context.clock,
-        manifests.prove,
+        manifests.record_proof,
     )
     fleet_watcher = Watcher(
         context.store,
--- a/bergamotdoor/gateway/front.py
+++ b/bergamotdoor/gateway/request_router.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from bergamotdoor.calls.manifest import RouteKind
-from bergamotdoor.gateway.call_front import call_of
-from bergamotdoor.gateway.credentials import named_account
-from bergamotdoor.gateway.refusals import plain, refusal
+from bergamotdoor.gateway.call_handler import build_call
+from bergamotdoor.gateway.credentials import build_upstream_headers
+from bergamotdoor.gateway.responses import refusal_response, text_response
 from bergamotdoor.http.messages import HttpResponse
 from bergamotdoor.observe.events import Counted
 from bergamotdoor.platform import headers as names
@@ -20,14 +20,14 @@
     from bergamotdoor.entry.context import Context
     from bergamotdoor.entry.views import ManifestView
     from bergamotdoor.gateway.admission import Admission
-    from bergamotdoor.gateway.batch_front import BatchFront
-    from bergamotdoor.gateway.call_front import CallFront
+    from bergamotdoor.gateway.batch_handler import BatchHandler
+    from bergamotdoor.gateway.call_handler import CallHandler
     from bergamotdoor.http.messages import HttpRequest
 
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
-class Front:
+class RequestRouter:
     """Router that passes each request to the handler of calls or of jobs.
 
     Parameters
@@ -49,8 +49,8 @@
         context: Context,
         manifests: ManifestView,
         admission: Admission,
-        calls: CallFront,
-        batches: BatchFront,
+        calls: CallHandler,
+        batches: BatchHandler,
     ) -> None:
         self._context = context
         self._manifests = manifests
@@ -69,7 +69,7 @@
         await self._context.startup.wait()
         manifest = self._manifests.manifest
         if manifest is None:
-            return refusal(Verdict.NOT_RUN, 'no manifest is known yet')
+            return refusal_response(Verdict.NOT_RUN, 'no manifest is known yet')
         response = await self._batches.handle(request, manifest)
         return response or await self._handle_routed(request, manifest)
 
@@ -80,7 +80,7 @@
         route = manifest.match(host, request.target)
         if route is None:
             return self._refuse_without_route(request, manifest)
-        account = self._admission.runner(request, manifest, route)
+        account = self._admission.admit_run(request, manifest, route)
         if isinstance(account, HttpResponse):
             return account
         return await self._handle_admitted(request, manifest, route)
@@ -92,15 +92,17 @@
         body = await request.read_body(manifest.limits.max_body_bytes)
         # The key may have been revoked while the body was received.
         newest_manifest = self._manifests.manifest or manifest
-        account = self._admission.runner(request, newest_manifest, route)
+        account = self._admission.admit_run(request, newest_manifest, route)
         if isinstance(account, HttpResponse):
             return account
         if route.kind is RouteKind.BATCH and request.method == 'POST':
             return await self._batches.submit(request, body, account)
-        headers = named_account(
-            request.headers, account, keyed=bool(newest_manifest.accounts)
+        headers = build_upstream_headers(
+            request.headers,
+            account,
+            accounts_in_force=bool(newest_manifest.accounts),
         )
-        call = call_of(request, headers, body, route, began)
+        call = build_call(request, headers, body, route, began)
         return await self._calls.answer(call, account)
 
     def _refuse_without_route(
@@ -115,4 +117,4 @@
             request.target,
             manifest.generation,
         )
-        return plain(HTTPStatus.NOT_FOUND, 'no route', request_id)
+        return text_response(HTTPStatus.NOT_FOUND, 'no route', request_id)
--- a/bergamotdoor/gateway/refusals.py
+++ b/bergamotdoor/gateway/responses.py
@@ -39,7 +39,7 @@
     return _JOB_RETRY_S + spread_ms / _MS_PER_S
 
 
-def refusal(
+def refusal_response(
     verdict: Verdict,
     detail: str,
     request_id: str = '',
@@ -60,13 +60,13 @@
         The retry delay in seconds, sent with 503 only.
     """
     if verdict is Verdict.NOT_RUN:
-        return plain(
+        return text_response(
             HTTPStatus.SERVICE_UNAVAILABLE, detail, request_id, retry_after_s
         )
-    return plain(HTTPStatus.GATEWAY_TIMEOUT, detail, request_id)
+    return text_response(HTTPStatus.GATEWAY_TIMEOUT, detail, request_id)
 
 
-def readiness(ready: bool) -> HttpResponse:
+def readiness_response(ready: bool) -> HttpResponse:
     """Return the response to a readiness probe of the balancer.
 
     Parameters
@@ -75,11 +75,11 @@
         Whether the balancer may send callers to this entry.
     """
     if ready:
-        return plain(HTTPStatus.OK, 'ready')
-    return plain(HTTPStatus.SERVICE_UNAVAILABLE, 'not ready')
+        return text_response(HTTPStatus.OK, 'ready')
+    return text_response(HTTPStatus.SERVICE_UNAVAILABLE, 'not ready')
 
 
-def plain(
+def text_response(
     status: HTTPStatus,
     detail: str,
     request_id: str = '',
--- a/bergamotdoor/gateway/servers.py
+++ b/bergamotdoor/gateway/servers.py
@@ -6,7 +6,7 @@
 import datetime as dt
 from typing import TYPE_CHECKING, Protocol
 
-from bergamotdoor.gateway.limits import INNER_LIMITS
+from bergamotdoor.gateway.limits import INTERNAL_LIMITS
 from bergamotdoor.http import HttpServer
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from bergamotdoor.settings.document import Address
 
 
-class Listening(Protocol):
+class RequestHandlers(Protocol):
     """Handlers of the HTTP servers; each server is named after its handler."""
 
     async def callers(self, request: HttpRequest) -> HttpResponse:
@@ -41,7 +41,7 @@
 
     Parameters
     ----------
-    daemon
+    handlers
         The handlers and the addresses of the servers.
     clock
         The clock of the process.
@@ -52,15 +52,17 @@
 
     def __init__(
         self,
-        daemon: Listening,
+        handlers: RequestHandlers,
         clock: Clock,
         listening: socket.socket | None = None,
     ) -> None:
-        self.callers = _make_server(daemon, daemon.callers, clock, listening)
+        self.callers = _make_server(
+            handlers, handlers.callers, clock, listening
+        )
         self._internal = (
-            _make_server(daemon, daemon.readiness, clock),
-            _make_server(daemon, daemon.other_entries, clock),
-            _make_server(daemon, daemon.inspection, clock),
+            _make_server(handlers, handlers.readiness, clock),
+            _make_server(handlers, handlers.other_entries, clock),
+            _make_server(handlers, handlers.inspection, clock),
         )
 
     async def start(self) -> None:
@@ -68,7 +70,7 @@
         for server in (*self._internal, self.callers):
             await server.start()
 
-    async def stop_inner(self) -> None:
+    async def stop_internal(self) -> None:
         """Stop all servers but the one for callers."""
         await asyncio.gather(
             *(server.stop(dt.timedelta()) for server in self._internal)
@@ -76,12 +78,17 @@
 
 
 def _make_server(
-    daemon: Listening,
+    handlers: RequestHandlers,
     handler: Handler,
     clock: Clock,
     listening: socket.socket | None = None,
 ) -> HttpServer:
     name = handler.__name__
     return HttpServer(
-        daemon.address_of(name), handler, INNER_LIMITS, clock, name, listening
+        handlers.address_of(name),
+        handler,
+        INTERNAL_LIMITS,
+        clock,
+        name,
+        listening,
     )
--- a/bergamotdoor/gateway/wiring.py
+++ b/bergamotdoor/gateway/wiring.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING
 
 from bergamotdoor.gateway.admission import Admission
-from bergamotdoor.gateway.batch_front import BatchFront
-from bergamotdoor.gateway.call_front import CallFront
-from bergamotdoor.gateway.front import Front
+from bergamotdoor.gateway.batch_handler import BatchHandler
+from bergamotdoor.gateway.call_handler import CallHandler
+from bergamotdoor.gateway.request_router import RequestRouter
 from bergamotdoor.objects.job_store import JobStore
 from bergamotdoor.peers.news_source import NewsSource
 from bergamotdoor.reporting.usage_duty import UsageDuty
@@ -26,7 +26,7 @@
     from bergamotdoor.tasks import Tasks
 
 
-class JobParts:
+class EntryComponents:
     """Components of an entry process that serve batch jobs and callers.
 
     Parameters
@@ -82,9 +82,9 @@
             )
             for message_type in self.usage.messages:
                 self.peer_service.register(message_type, self.usage.take)
-        self.front = self._make_front(context, access, manifests)
+        self.router = self._make_router(context, access, manifests)
 
-    async def resume(self) -> bool:
+    async def resume_jobs(self) -> bool:
         """Resume the jobs that this node's previous process owned.
 
         Returns
@@ -100,9 +100,9 @@
                 await self.finder.adopt(found)
         return True
 
-    def _make_front(
+    def _make_router(
         self, context: Context, access: StoreAccess, manifests: ManifestView
-    ) -> Front:
+    ) -> RequestRouter:
         admission = Admission(context, manifests)
         submission_service = JobSubmissionService(
             context, self.store, self.owner, self.finder, self.notifier
@@ -111,10 +111,10 @@
             self.owner, self.finder, access.peers, context.clock
         )
         counter = None if self.usage is None else self.usage.counter
-        return Front(
+        return RequestRouter(
             context,
             manifests,
             admission,
-            CallFront(context, counter),
-            BatchFront(submission_service, read_service, admission),
+            CallHandler(context, counter),
+            BatchHandler(submission_service, read_service, admission),
         )
--- a/features/job_scenes.py
+++ b/features/job_scenes.py
@@ -91,7 +91,7 @@
 
 async def take_over_at(site: Site, entry: str) -> None:
     """Have an entry take the job over, as if the owner did not answer."""
-    finder = site.entries[entry]._parts.finder
+    finder = site.entries[entry]._components.finder
     record = await finder.find_record(JobId(JOB))
     assert not isinstance(record, Outcome)
     await finder.take_over(JobId(JOB), record)
--- a/features/steps/gateway_again_steps.py
+++ b/features/steps/gateway_again_steps.py
@@ -150,7 +150,7 @@
         await site.start()
         await submit_job(site, list(SHORT_AND_LONG))
         first = owner_of(site)
-        run = site.entries[first]._parts.owner.get(JobId(JOB))
+        run = site.entries[first]._components.owner.get(JobId(JOB))
         assert run is not None
         message = AdoptJob(
             run.stored_job.record, run.stored_job.revision, run.spec
@@ -162,7 +162,7 @@
         await site.kill(first)
         await site.add_entry(first)
         await asyncio.sleep(2)
-        service = site.entries[first]._parts.peer_service
+        service = site.entries[first]._components.peer_service
         await service.handle(message)
         context.pages = [await read_second_position(site, first)]
 
@@ -175,13 +175,13 @@
         await site.start()
         await submit_job(site, [[60, 60]])
         first = owner_of(site)
-        parts = site.entries[first]._parts
-        run = parts.owner.get(JobId(JOB))
+        components = site.entries[first]._components
+        run = components.owner.get(JobId(JOB))
         assert run is not None
         old = run.stored_job
         later = msgspec.structs.replace(old.record, term=3)
         run.stored_job = msgspec.structs.replace(old, record=later)
-        await parts.finder.adopt(old)
+        await components.finder.adopt(old)
         context.term = run.stored_job.record.term
         context.results = await site.all_results(first, JOB)
 
--- a/features/steps/gateway_owners_steps.py
+++ b/features/steps/gateway_owners_steps.py
@@ -190,7 +190,7 @@
         await site.start()
         await submit_job(site, [[20, 20], [90, 90]])
         owner = owner_of(site)
-        first = site.entries[owner]._parts.owner
+        first = site.entries[owner]._components.owner
         first._dispatcher = cast('Any', IdleDispatcher())
         run = first.get(JobId(JOB))
         assert run is not None
--- a/features/steps/gateway_stop_steps.py
+++ b/features/steps/gateway_stop_steps.py
@@ -41,7 +41,9 @@
     owner = site.store.table.specs('jobs')['job']['owner']
     entry = site.entries.pop(owner)
     for other in site.entries.values():
-        setattr(other._parts.peer_service, 'handle', wait_forever)  # noqa: B010
+        setattr(  # noqa: B010
+            other._components.peer_service, 'handle', wait_forever
+        )
     long_call = asyncio.create_task(
         site.ask(owner, 'GET', '/long/1', timeout_s=LONG_WORK_S, Request_Id='1')
     )
--- a/features/steps/peers_news_steps.py
+++ b/features/steps/peers_news_steps.py
@@ -30,7 +30,7 @@
     return [
         name
         for name, entry in site.entries.items()
-        if entry._parts.news_source.follows('config')
+        if entry._components.news_source.follows('config')
     ]
 
 
@@ -97,7 +97,7 @@
     if fault == 'is killed':
         await entry.kill()
     elif fault == 'answers nothing':
-        entry._parts.peer_service.handle = never_answer  # type: ignore
+        entry._components.peer_service.handle = never_answer  # type: ignore
     elif fault == 'loses the store':
         await cut_off_store(entry)
     else:
--- a/features/steps/peers_strikes_steps.py
+++ b/features/steps/peers_strikes_steps.py
@@ -57,16 +57,20 @@
 def cut_one_off(context: Any, cut_s: int, later_s: int) -> None:
     async def act(site: Site) -> None:
         cut_off = site.entries['entry-2']
-        handle = cut_off._parts.peer_service.handle
+        handle = cut_off._components.peer_service.handle
 
         async def no_reply(_: Any) -> Any:
             await asyncio.Event().wait()
 
-        setattr(cut_off._parts.peer_service, 'handle', no_reply)  # noqa: B010
+        setattr(  # noqa: B010
+            cut_off._components.peer_service, 'handle', no_reply
+        )
         await asyncio.sleep(0.1)
         await send_crashing_request(site, 'entry-0', 'call-0')
         await asyncio.sleep(cut_s)
-        setattr(cut_off._parts.peer_service, 'handle', handle)  # noqa: B010
+        setattr(  # noqa: B010
+            cut_off._components.peer_service, 'handle', handle
+        )
         # The pause after the first two ends is over by then, so the request
         # reaches one more upstream through another entry and ends it.
         await send_crashing_request(site, 'entry-1', 'call-1')
--- a/features/steps/reporting_usage_steps.py
+++ b/features/steps/reporting_usage_steps.py
@@ -222,7 +222,7 @@
 
 async def suspend(site: Site, name: str) -> None:
     """Suspend the reporting tasks of one entry for 9 s."""
-    usage = site.entries[name]._parts.usage
+    usage = site.entries[name]._components.usage
     assert usage is not None
     clock = SuspendableClock(site.clock)
     for part in (usage._reporter, usage._usage_sender):
--- a/features/steps/steps_result_cache_steps.py
+++ b/features/steps/steps_result_cache_steps.py
@@ -113,7 +113,7 @@
         reader = await context.prepare(site)
         owner = site.entries[owner_of(site)]
         messages: list[Any] = []
-        service = owner._parts.peer_service
+        service = owner._components.peer_service
         handle = service.handle
 
         async def recorded(message: Any) -> Any:
--- a/lab/model/entry.py
+++ b/lab/model/entry.py
@@ -1,4 +1,4 @@
-"""Entry process without sockets: its job parts and background tasks."""
+"""Entry process without sockets: its components and background tasks."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Final
 
 from bergamotdoor.entry.context import Context
-from bergamotdoor.entry.startup import Knowledge
-from bergamotdoor.gateway.wiring import JobParts
+from bergamotdoor.entry.startup import StartupListing
+from bergamotdoor.gateway.wiring import EntryComponents
 from bergamotdoor.peers import StoreAccess, serve_peer
 from bergamotdoor.tasks import Tasks
 from lab.model.network import Network, NetworkClient
@@ -58,11 +58,11 @@
         client = NetworkClient(network, self.name)
         self._access = StoreAccess(settings, client, clock)
         self._access.rng.seed(seed)
-        self._context = Context.fresh(settings, self._access, client, clock)
-        for knowledge in Knowledge:
-            self._context.startup.learned(knowledge)
+        self._context = Context.create(settings, self._access, client, clock)
+        for listing in StartupListing:
+            self._context.startup.mark_known(listing)
         self._tasks = Tasks()
-        self.parts = JobParts(
+        self.components = EntryComponents(
             self._context, self._access, manifests, self._tasks
         )
         self.stopping = False
@@ -89,7 +89,7 @@
 
     def ask(self, request: HttpRequest) -> asyncio.Task[HttpResponse]:
         """Start to process a request of a caller; return the task."""
-        return self.process.start(self.parts.front.handle(request))
+        return self.process.start(self.components.router.handle(request))
 
     def begin_stop(self) -> None:
         """Start a planned stop, which hands off the entry's jobs."""
@@ -111,25 +111,25 @@
     async def _answer_peer(
         self, origin: str, request: HttpRequest
     ) -> HttpResponse:
-        handle = self.parts.peer_service.handle
+        handle = self.components.peer_service.handle
         return await self.process.start(serve_peer(request, handle))
 
     async def _start_tasks(self) -> None:
-        self.parts.owner.start()
+        self.components.owner.start()
         directory = self._access.directory
         self._tasks.start(directory.register(self._context.own_entry))
         self._tasks.start(directory.run())
         self._tasks.start(self._resume_jobs())
 
     async def _resume_jobs(self) -> None:
-        while not await self.parts.resume():
+        while not await self.components.resume_jobs():
             await asyncio.sleep(_RESUME_INTERVAL_S)
 
     async def _hand_off_and_stop(self) -> None:
         began_s = asyncio.get_running_loop().time()
-        await self.parts.handoff.hand_off_jobs()
+        await self.components.handoff.hand_off_jobs()
         spent_s = asyncio.get_running_loop().time() - began_s
         await asyncio.sleep(max(_STOP_DURATION_S - spent_s, 0))
-        await self.parts.owner.stop()
+        await self.components.owner.stop()
         await self._tasks.stop()
         self.kill()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -88,7 +88,7 @@
     Mutation(
         'headers in which a client states its account are removed',
         'gateway/credentials.py',
-        'return (ACCOUNT, _AUTHORIZATION) if keyed else (ACCOUNT,)',
+        'return (ACCOUNT, _AUTHORIZATION) if accounts_in_force else (ACCOUNT,)',
         'return ()',
         _ACCOUNTS,
     ),
