--- a/bergamotdoor/gateway/batch_front.py
+++ b/bergamotdoor/gateway/batch_handler.py
@@ -8,8 +8,12 @@
 from urllib.parse import parse_qs, unquote
 
 from bergamotdoor import utils
-from bergamotdoor.gateway.credentials import job_of_account
-from bergamotdoor.gateway.refusals import job_retry_s, plain, refusal
+from bergamotdoor.gateway.credentials import assign_job_account
+from bergamotdoor.gateway.responses import (
+    job_retry_s,
+    refusal_response,
+    text_response,
+)
 from bergamotdoor.http.messages import Headers, HttpResponse
 from bergamotdoor.platform import headers as names
 from bergamotdoor.platform.batch_wire import parse_job, results_body
@@ -21,8 +25,8 @@
     from bergamotdoor.calls.manifest import Manifest
     from bergamotdoor.gateway.admission import Admission
     from bergamotdoor.http.messages import HttpRequest
-    from bergamotdoor.steps.jobs_desk import JobsDesk
-    from bergamotdoor.steps.jobs_intake import JobsIntake
+    from bergamotdoor.steps.job_reads import JobReadService
+    from bergamotdoor.steps.job_submission import JobSubmissionService
     from bergamotdoor.types import AccountId
 
 #: The longest time that a read waits for a result, whatever it asks for.
@@ -36,24 +40,27 @@
 _log = logging.getLogger('bergamotdoor.gateway')
 
 
-class BatchFront:
+class BatchHandler:
     """Handler of the requests of trainers.
 
     Parameters
     ----------
-    intake
+    submission_service
         Stores submitted jobs and ends jobs.
-    desk
+    read_service
         Reads results and item bodies, whichever entry owns the job.
     admission
         Decides which client account sends a request.
     """
 
     def __init__(
-        self, intake: JobsIntake, desk: JobsDesk, admission: Admission
+        self,
+        submission_service: JobSubmissionService,
+        read_service: JobReadService,
+        admission: Admission,
     ) -> None:
-        self._intake = intake
-        self._desk = desk
+        self._submission_service = submission_service
+        self._read_service = read_service
         self._admission = admission
 
     async def handle(
@@ -80,11 +87,11 @@
         )
         if prefix is None:
             return None
-        account = self._admission.reader(request, manifest)
+        account = self._admission.admit_job_access(request, manifest)
         if isinstance(account, HttpResponse):
             return account
         job = JobId(unquote(path.removeprefix(prefix)))
-        job_account = await self._desk.account_of(job)
+        job_account = await self._read_service.account_of(job)
         if isinstance(job_account, Outcome):
             return _lookup_failure(job, job_account)
         if not manifest.accounts.may_see(account, job_account):
@@ -112,8 +119,10 @@
         try:
             spec = parse_job(job, host, path, body)
         except ValueError as error:
-            return plain(HTTPStatus.BAD_REQUEST, str(error), job)
-        outcome = await self._intake.submit(job_of_account(spec, account))
+            return text_response(HTTPStatus.BAD_REQUEST, str(error), job)
+        outcome = await self._submission_service.submit(
+            assign_job_account(spec, account)
+        )
         _log.info(
             'gateway: job %s submitted, %d items, version %d and newer: %s',
             job,
@@ -122,11 +131,13 @@
             'kept' if outcome is None else outcome.value,
         )
         if outcome is None:
-            return plain(HTTPStatus.ACCEPTED, 'kept', job)
+            return text_response(HTTPStatus.ACCEPTED, 'kept', job)
         if outcome is Outcome.FOREIGN:
-            return plain(HTTPStatus.CONFLICT, 'a job of another account', job)
+            return text_response(
+                HTTPStatus.CONFLICT, 'a job of another account', job
+            )
         if outcome is Outcome.UNCLEAR:
-            return refusal(Verdict.MAY_HAVE_RUN, 'perhaps kept', job)
+            return refusal_response(Verdict.MAY_HAVE_RUN, 'perhaps kept', job)
         return _store_unavailable(job, job_retry_s(job))
 
     async def _handle_job_request(
@@ -142,11 +153,13 @@
     async def _read_results(
         self, job: JobId, query: str, headers: Headers
     ) -> HttpResponse:
-        after = number_of(parse_qs(query).get('after', ['0'])[0])
+        after = parse_number(parse_qs(query).get('after', ['0'])[0])
         wait_ms = min(
-            number_of(headers.first(names.WAIT_MS)), _MAX_READ_WAIT_MS
+            parse_number(headers.first(names.WAIT_MS)), _MAX_READ_WAIT_MS
+        )
+        page = await self._read_service.read_results(
+            job, after, utils.from_ms(wait_ms)
         )
-        page = await self._desk.read(job, after, utils.from_ms(wait_ms))
         if isinstance(page, Outcome):
             return _lookup_failure(job, page)
         return HttpResponse(
@@ -157,27 +170,27 @@
 
     async def _read_body(self, job: JobId, query: str) -> HttpResponse:
         item = ItemId(parse_qs(query).get('id', [''])[0])
-        body = await self._desk.body(job, item)
+        body = await self._read_service.read_body(job, item)
         if isinstance(body, Outcome):
             return _lookup_failure(job, body)
         return HttpResponse(status=int(HTTPStatus.OK), body=body)
 
     async def _end_job(self, job: JobId) -> HttpResponse:
-        outcome = await self._intake.end(job)
+        outcome = await self._submission_service.end(job)
         _log.info(
             'gateway: job %s: end requested: %s',
             job,
             'kept' if outcome is None else outcome.value,
         )
         if outcome is None:
-            return plain(HTTPStatus.OK, 'ended', job)
+            return text_response(HTTPStatus.OK, 'ended', job)
         return _lookup_failure(job, outcome)
 
 
 def _lookup_failure(job: JobId, outcome: Outcome) -> HttpResponse:
     if outcome is Outcome.ABSENT:
         _log.info('gateway: job %s: there is no such job or item', job)
-        return plain(HTTPStatus.NOT_FOUND, 'not found')
+        return text_response(HTTPStatus.NOT_FOUND, 'not found')
     _log.info('gateway: job %s: not known now: %s', job, outcome.value)
     return _store_unavailable(job)
 
@@ -185,9 +198,9 @@
 def _store_unavailable(
     job: JobId, retry_s: float = _STORE_RETRY_S
 ) -> HttpResponse:
-    return refusal(Verdict.NOT_RUN, 'the store is away', job, retry_s)
+    return refusal_response(Verdict.NOT_RUN, 'the store is away', job, retry_s)
 
 
-def number_of(text: str) -> int:
+def parse_number(text: str) -> int:
     """Return the number in a client's text, 0 if it is not a number."""
     return int(text) if text.isdecimal() else 0
--- a/bergamotdoor/gateway/following.py
+++ b/bergamotdoor/gateway/platform_watchers.py
@@ -35,7 +35,7 @@
 _PROOF_INTERVAL_SHARE: Final = 0.2
 
 
-def follow_platform(
+def start_platform_watchers(
     context: Context,
     news: News,
     manifests: ManifestView,
@@ -59,7 +59,9 @@
     """
     gather = context.settings.drain * _FLEET_GATHER_SHARE
     wait = context.settings.contact - _LISTING_RESERVE
-    fleet = FleetView(context.fleet, context.clock, owner.poke, context.startup)
+    fleet = FleetView(
+        context.fleet, context.clock, owner.wake_up, context.startup
+    )
     revocation = context.settings.revocation
     proof = None if revocation is None else revocation * _PROOF_INTERVAL_SHARE
     manifest_watcher = Watcher(
@@ -68,7 +70,7 @@
         Watch(names.MANIFEST_KIND, _MANIFEST_GATHER, wait, proof),
         manifests,
         context.clock,
-        manifests.prove,
+        manifests.record_proof,
     )
     fleet_watcher = Watcher(
         context.store,
--- a/features/steps/gateway_again_steps.py
+++ b/features/steps/gateway_again_steps.py
@@ -150,9 +150,11 @@
         await site.start()
         await submit_job(site, list(SHORT_AND_LONG))
         first = owner_of(site)
-        run = site.entries[first]._parts.owner.get(JobId(JOB))
+        run = site.entries[first]._components.owner.get(JobId(JOB))
         assert run is not None
-        message = AdoptJob(run.found.record, run.found.revision, run.spec)
+        message = AdoptJob(
+            run.stored_job.record, run.stored_job.revision, run.spec
+        )
         await read_first_group(site, first)
         second = other_entry(site, first)
         await take_over_at(site, second)
@@ -160,7 +162,7 @@
         await site.kill(first)
         await site.add_entry(first)
         await asyncio.sleep(2)
-        service = site.entries[first]._parts.peer_service
+        service = site.entries[first]._components.peer_service
         await service.handle(message)
         context.pages = [await read_second_position(site, first)]
 
@@ -173,14 +175,14 @@
         await site.start()
         await submit_job(site, [[60, 60]])
         first = owner_of(site)
-        parts = site.entries[first]._parts
-        run = parts.owner.get(JobId(JOB))
+        components = site.entries[first]._components
+        run = components.owner.get(JobId(JOB))
         assert run is not None
-        old = run.found
+        old = run.stored_job
         later = msgspec.structs.replace(old.record, term=3)
-        run.found = msgspec.structs.replace(old, record=later)
-        await parts.finder.adopt(old)
-        context.term = run.found.record.term
+        run.stored_job = msgspec.structs.replace(old, record=later)
+        await components.finder.adopt(old)
+        context.term = run.stored_job.record.term
         context.results = await site.all_results(first, JOB)
 
     play(scene)
